--- a/crates/kernel/src/admission.rs
+++ b/crates/kernel/src/admission.rs
@@ -1,8 +1,7 @@
-//! Admission at the owner: slots, classes, deadlines and shedding.
+//! Admission control at the owner: slots, weighted classes, deadlines and load shedding.
 //!
-//! The node beside an upstream is the only one that admits work to it. Each request is answered in one of
-//! three ways: it runs now, it waits for a slot, or it is refused as not run. A waiting request is
-//! answered exactly once, by a [`Wake`], unless its caller cancels it first.
+//! Each request runs at once, waits for a slot, or is refused as not run. A waiting request gets exactly one
+//! [`Wake`], unless its caller cancels it first.
 
 pub mod kinds;
 mod limit;
@@ -27,17 +26,16 @@
 /// Settings of one [`Admission`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionSettings {
-    /// Most requests of one class that wait for a slot. Default: 64.
+    /// Maximum number of waiting requests per class. Default: 64.
     pub queue: usize,
-    /// Weights by which the classes share the slots while all of them wait. Default: 60, 30 and 10.
+    /// Weights by which the classes share the slots when all of them have requests waiting. Default: 60, 30 and 10.
     pub weights: [f64; CLASSES],
-    /// Longest useful wait of each class as a multiple of its service time. Default: 2, 8 and none.
-    pub patience: [f64; CLASSES],
-    /// Longest time without a start that background work endures while it waits, in ms. Default: 2000.
+    /// Maximum wait of each class as a multiple of its service time. Default: 2, 8 and unlimited.
+    pub wait_factors: [f64; CLASSES],
+    /// Longest time that waiting background work can go without a start, in ms. Default: 2000.
     pub aging: u64,
-    /// Time over which the demand of the other classes is averaged, to hold slots back for them, in ms.
-    /// Default: 1000.
-    pub memory: u64,
+    /// Averaging time of the foreground demand, for which slots are reserved, in ms. Default: 1000.
+    pub demand_window: u64,
 }
 
 impl Default for AdmissionSettings {
@@ -45,35 +43,35 @@
         AdmissionSettings {
             queue: 64,
             weights: [60.0, 30.0, 10.0],
-            patience: [2.0, 8.0, f64::INFINITY],
+            wait_factors: [2.0, 8.0, f64::INFINITY],
             aging: 2_000,
-            memory: 1_000,
+            demand_window: 1_000,
         }
     }
 }
 
-/// A request that asks for admission.
+/// A request offered for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its class.
+    /// Class that sets its queue and its share of the slots.
     pub class: Class,
-    /// When its answer is worthless.
+    /// Time from which its answer is of no use.
     pub deadline: Ms,
 }
 
-/// The answer to [`Admission::offer`].
+/// Result of [`Admission::offer`].
 #[derive(Debug)]
 #[must_use]
 pub enum Offer {
-    /// Run it now and hand the permit back through [`Admission::done`].
+    /// The request runs now; the permit must be returned through [`Admission::done`].
     Run(Permit),
-    /// It waits; a [`Wake`] or [`Admission::cancel`] ends the wait.
+    /// The request waits until a [`Wake`] or [`Admission::cancel`].
     Wait(Ticket),
-    /// It is not run.
+    /// The request is not run.
     Refuse(Refusal),
 }
 
-/// The right to run one request. Losing it loses a slot: it always goes back through [`Admission::done`].
+/// Permission to run one request. It must be returned through [`Admission::done`], or its slot is lost.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Permit {
@@ -82,43 +80,43 @@
     started: Ms,
 }
 
-/// A waiting request.
+/// Identifies a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// The end of a wait.
+/// End of a request's wait.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Wake {
-    /// Run it now.
+    /// The request runs now.
     Run(Ticket, Permit),
-    /// It is not run.
+    /// The request is not run.
     Refuse(Ticket, Refusal),
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finish {
-    /// The upstream answered; the time it took is a sample of its service time.
+    /// The upstream answered; its duration is a service time sample.
     Answered,
-    /// The upstream shed the request or timed out: it has less room than its slots say.
+    /// The upstream shed the request or timed out, which lowers the concurrency limit.
     Overloaded,
-    /// The upstream failed; says nothing about its room.
+    /// The upstream failed; not counted as overload.
     Failed,
     /// The caller gave up.
     Cancelled,
 }
 
-/// What a cancellation met.
+/// Result of [`Admission::cancel`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancel {
-    /// The request was waiting and is forgotten: it was not run.
-    Forgotten,
-    /// The request was answered before; if it was told to run, its permit must still come back.
+    /// The request was waiting and is removed; it was not run.
+    Removed,
+    /// The request no longer waits. If it runs, its permit must still be returned.
     Answered,
 }
 
-/// Admits work to one upstream.
+/// Admission control of one upstream.
 #[derive(Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
@@ -126,20 +124,21 @@
     limit: Limit,
     running: [usize; CLASSES],
     queues: [Queue; CLASSES],
-    /// Slot time consumed by each class divided by its weight.
+    /// Slot time consumed by each class, divided by its weight.
     consumed: [f64; CLASSES],
-    /// Highest consumption at which a run started.
-    level: f64,
-    /// Mean number of foreground requests running and waiting, and when it was last brought up to date.
+    /// Virtual time of the fair queueing: the highest charge at which a request started.
+    virtual_time: f64,
+    /// Mean number of foreground requests that run or wait.
     demand: f64,
+    /// Time of the last update of `demand`.
     observed: Ms,
-    /// When background work last started, or began to wait after none did.
-    progress: Ms,
-    tickets: u64,
+    /// Time at which background work last started, or began to wait in an empty queue.
+    background_progress: Ms,
+    last_ticket: u64,
 }
 
 impl Admission {
-    /// Admission to an upstream that handles `slots` requests at once. It starts [`Phase::Warming`].
+    /// Creates the admission control of an upstream with `slots` slots, in [`Phase::Warming`].
     pub fn new(settings: AdmissionSettings, slots: u16) -> Admission {
         Admission {
             settings,
@@ -148,42 +147,42 @@
             running: [0; CLASSES],
             queues: Default::default(),
             consumed: [0.0; CLASSES],
-            level: 0.0,
+            virtual_time: 0.0,
             demand: 0.0,
             observed: Ms(0),
-            progress: Ms(0),
-            tickets: 0,
+            background_progress: Ms(0),
+            last_ticket: 0,
         }
     }
 
-    /// Offers a request.
+    /// Runs, queues or refuses a request.
     pub fn offer(&mut self, now: Ms, request: Request) -> Offer {
-        if let Some(reason) = self.closed() {
+        if let Some(reason) = self.phase_reason() {
             return Offer::Refuse(Refusal::new(reason));
         }
         if request.deadline <= now {
             return Offer::Refuse(Refusal::new(Reason::Expired));
         }
         let class = request.class;
-        let late = request.deadline.since(now) < self.limit.service(class);
-        if late && !self.must_probe(class) {
+        let is_late = request.deadline.since(now) < self.limit.service(class);
+        if is_late && !self.must_probe(class) {
             return Offer::Refuse(Refusal::new(Reason::Expired));
         }
         self.observe(now);
-        if self.queues[index(class)].is_empty() && self.has_room(class) {
+        if self.queues[index(class)].is_empty() && self.has_slot(class) {
             return Offer::Run(self.start(now, class));
         }
         if self.queues[index(class)].len() >= self.settings.queue {
-            let after = self.wait_of(class, self.queues[index(class)].len());
+            let after = self.estimated_wait(class, self.queues[index(class)].len());
             return Offer::Refuse(Refusal::after(Reason::QueueFull, after));
         }
-        if let Some(refusal) = self.hopeless(now, request) {
+        if let Some(refusal) = self.wait_refusal(now, request) {
             return Offer::Refuse(refusal);
         }
         Offer::Wait(self.enqueue(now, request))
     }
 
-    /// Takes a permit back and fills the slot that it frees.
+    /// Returns a permit and starts waiting requests in the freed slot.
     pub fn done(&mut self, now: Ms, permit: Permit, finish: Finish, out: &mut Vec<Wake>) {
         let class = permit.class;
         let took = now.since(permit.started);
@@ -198,25 +197,25 @@
         self.dispatch(now, out);
     }
 
-    /// Forgets a waiting request whose caller gave up.
+    /// Removes a waiting request whose caller gave up.
     pub fn cancel(&mut self, ticket: Ticket) -> Cancel {
         let found = self.queues.iter_mut().any(|it| it.remove(ticket));
         if found {
-            return Cancel::Forgotten;
+            return Cancel::Removed;
         }
         Cancel::Answered
     }
 
-    /// Refuses what can no longer finish in time and starts what may run. Due at [`Admission::due`].
+    /// Refuses waiting requests that can no longer finish in time and starts others. Call it at [`Admission::due`].
     pub fn tick(&mut self, now: Ms, out: &mut Vec<Wake>) {
         self.observe(now);
         self.dispatch(now, out);
-        self.review(now, out);
+        self.refuse_unservable(now, out);
     }
 
-    /// When [`Admission::tick`] is next needed, if anything waits.
+    /// Returns the time of the next [`Admission::tick`], if any request waits.
     pub fn due(&self) -> Option<Ms> {
-        let review = (self.waiting() > 0).then_some(self.observed + REVIEW);
+        let review = (self.waiting() > 0).then_some(self.observed + REVIEW_INTERVAL_MS);
         let expiry = CLASS_ORDER.into_iter().filter_map(|class| {
             let deadline = self.queue(class).first()?.deadline;
             Some(deadline - self.limit.service(class))
@@ -224,33 +223,33 @@
         expiry.chain(review).min()
     }
 
-    /// Follows the upstream's phase. Leaving [`Phase::Ready`] refuses every waiting request at once.
+    /// Sets the upstream's phase. Any phase but [`Phase::Ready`] refuses all waiting requests at once.
     pub fn set_phase(&mut self, now: Ms, phase: Phase, out: &mut Vec<Wake>) {
         self.phase = phase;
-        let Some(reason) = self.closed() else {
+        let Some(reason) = self.phase_reason() else {
             return self.dispatch(now, out);
         };
         let waiting = self.queues.iter_mut().flat_map(Queue::drain);
         out.extend(waiting.map(|it| Wake::Refuse(it.ticket, Refusal::new(reason))));
     }
 
-    /// Starts to drain: refuses all new and waiting work; what runs goes on.
+    /// Starts to drain: refuses all new and waiting requests; running ones go on.
     pub fn drain(&mut self, now: Ms, out: &mut Vec<Wake>) {
         self.set_phase(now, Phase::Draining, out);
     }
 
-    /// Follows the number of slots that the upstream announces.
+    /// Sets the number of slots that the upstream announced.
     pub fn set_slots(&mut self, now: Ms, slots: u16, out: &mut Vec<Wake>) {
         self.limit.set_slots(slots);
         self.dispatch(now, out);
     }
 
-    /// Follows the document's `limits.queue`. What already waits stays, also beyond a shorter queue.
+    /// Sets the maximum queue length, `limits.queue` of the document. Requests that already wait stay queued.
     pub fn set_queue(&mut self, queue: usize) {
         self.settings.queue = queue;
     }
 
-    /// The load to send back with an answer.
+    /// Returns the load to send back with an answer.
     pub fn load(&self) -> Load {
         let waiting = self.queue(Class::Interactive).len() + self.queue(Class::Exact).len();
         Load {
@@ -260,17 +259,17 @@
         }
     }
 
-    /// Requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running.iter().sum()
     }
 
-    /// Requests waiting.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queues.iter().map(Queue::len).sum()
     }
 
-    fn closed(&self) -> Option<Reason> {
+    fn phase_reason(&self) -> Option<Reason> {
         match self.phase {
             Phase::Ready => None,
             Phase::Warming => Some(Reason::NotReady),
@@ -282,79 +281,79 @@
         &self.queues[index(class)]
     }
 
-    fn has_room(&self, class: Class) -> bool {
+    fn has_slot(&self, class: Class) -> bool {
         let free = self.running() < self.limit.get();
         match class {
             Class::Interactive | Class::Exact => free,
-            Class::Background => free && self.running[index(class)] < self.background_room(),
+            Class::Background => free && self.running[index(class)] < self.background_limit(),
         }
     }
 
-    /// Slots that background work may hold: those that the usual demand of the other classes leaves.
+    /// Returns the maximum number of slots for background work: those that the mean foreground demand leaves.
     ///
-    /// A run cannot be interrupted. Without the reserve, long background runs fill every slot in a
-    /// quiet moment, and the next interactive request waits for one of them to end.
-    fn background_room(&self) -> usize {
+    /// Running requests are not preempted. Without this reserve, long background requests fill every idle slot and
+    /// the next interactive request has to wait for one of them.
+    fn background_limit(&self) -> usize {
         let reserve = self.demand.max(1.0);
         let room = self.limit.get() as f64 - reserve;
         (room.round().max(1.0)) as usize
     }
 
-    /// Brings the mean foreground demand up to `now`; called before each change of it.
+    /// Updates the mean foreground demand; called before each change of the running or waiting requests.
     fn observe(&mut self, now: Ms) {
-        let elapsed = now.since(self.observed) as f64 / self.settings.memory as f64;
-        let held = |it: Class| self.running[index(it)] + self.queue(it).len();
-        let current = (held(Class::Interactive) + held(Class::Exact)) as f64;
+        let elapsed = now.since(self.observed) as f64 / self.settings.demand_window as f64;
+        let current_of = |it: Class| self.running[index(it)] + self.queue(it).len();
+        let current = (current_of(Class::Interactive) + current_of(Class::Exact)) as f64;
         self.demand += (1.0 - (-elapsed).exp()) * (current - self.demand);
         self.observed = self.observed.max(now);
     }
 
-    /// Refuses a request that would wait too long to be of use, with the time until it would not.
-    fn hopeless(&self, now: Ms, request: Request) -> Option<Refusal> {
+    /// Returns a refusal, with the time to wait before a retry, if the request would wait too long.
+    fn wait_refusal(&self, now: Ms, request: Request) -> Option<Refusal> {
         let class = request.class;
         let service = self.limit.service(class);
-        let wait = self.wait_of(class, self.queue(class).before(request.deadline) + 1);
-        let patience = service as f64 * self.settings.patience[index(class)];
-        let spare = request.deadline.since(now).saturating_sub(service);
-        let longest = if patience < spare as f64 {
-            patience as u64
+        let wait = self.estimated_wait(class, self.queue(class).count_before(request.deadline) + 1);
+        let class_limit = service as f64 * self.settings.wait_factors[index(class)];
+        let slack = request.deadline.since(now).saturating_sub(service);
+        let max_wait = if class_limit < slack as f64 {
+            class_limit as u64
         } else {
-            spare
+            slack
         };
-        if wait <= longest || self.must_probe(class) {
+        if wait <= max_wait || self.must_probe(class) {
             return None;
         }
-        Some(Refusal::after(Reason::Overloaded, wait - longest))
+        Some(Refusal::after(Reason::Overloaded, wait - max_wait))
     }
 
-    /// Whether a run of `class` is needed to learn its service time.
+    /// Returns whether a request of `class` must be admitted to measure its service time.
     ///
-    /// An estimate that once grew past every deadline would refuse all work of the class, and with no
-    /// run nothing would ever correct it. So one at a time may always run.
+    /// An estimate above every deadline would otherwise refuse the whole class and never be corrected.
     fn must_probe(&self, class: Class) -> bool {
         self.running[index(class)] == 0 && self.queue(class).is_empty()
     }
 
-    /// Estimated wait of the request of `class` at `place`, counted from one, in its queue, in ms.
-    fn wait_of(&self, class: Class, place: usize) -> u64 {
+    /// Returns the estimated wait of the request of `class` at `position` of its queue, counted from one, in ms.
+    fn estimated_wait(&self, class: Class, position: usize) -> u64 {
         let service = self.limit.service(class) as f64;
-        (place as f64 * service / self.entitled(class)) as u64
+        (position as f64 * service / self.expected_slots(class)) as u64
     }
 
-    /// Slots that a class can count on: its share, and for background work what the others usually leave.
-    fn entitled(&self, class: Class) -> f64 {
+    /// Returns the expected number of slots of a class: its weighted share, or what foreground demand leaves for
+    /// background work.
+    fn expected_slots(&self, class: Class) -> f64 {
         let limit = self.limit.get() as f64;
         let weight = |it: Class| self.settings.weights[index(it)];
-        let rivals = CLASS_ORDER
+        let competing = CLASS_ORDER
             .into_iter()
             .filter(|it| *it == class || !self.queue(*it).is_empty());
-        let share = limit * weight(class) / rivals.map(weight).sum::<f64>();
+        let share = limit * weight(class) / competing.map(weight).sum::<f64>();
         match class {
             Class::Interactive | Class::Exact => share,
             Class::Background => {
                 let all = CLASS_ORDER.into_iter().map(weight).sum::<f64>();
-                let spare = (limit - self.demand).min(self.background_room() as f64);
-                spare.max(limit * weight(class) / all)
+                let unused = (limit - self.demand).min(self.background_limit() as f64);
+                unused.max(limit * weight(class) / all)
             }
         }
     }
@@ -362,10 +361,10 @@
     fn enqueue(&mut self, now: Ms, request: Request) -> Ticket {
         let class = request.class;
         if self.queue(class).is_empty() {
-            self.join(now, class);
+            self.activate(now, class);
         }
-        self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
         self.queues[index(class)].push(Entry {
             deadline: request.deadline,
             ticket,
@@ -373,24 +372,21 @@
         ticket
     }
 
-    /// Brings a class that begins to wait level with the work under way, so that idling earns no credit.
-    ///
-    /// The level is that at which the last run started, not that of the other classes: a background run
-    /// counts six times as much as an interactive one, and a class that waits behind it must not pay for it.
-    fn join(&mut self, now: Ms, class: Class) {
+    /// Raises the consumption of a class that begins to wait to the virtual time, so that an idle class gains no credit.
+    fn activate(&mut self, now: Ms, class: Class) {
         let consumed = &mut self.consumed[index(class)];
-        *consumed = consumed.max(self.level);
+        *consumed = consumed.max(self.virtual_time);
         if class == Class::Background {
-            self.progress = self.progress.max(now);
+            self.background_progress = self.background_progress.max(now);
         }
     }
 
     fn start(&mut self, now: Ms, class: Class) -> Permit {
-        self.level = self.level.max(self.charge(class));
+        self.virtual_time = self.virtual_time.max(self.charge(class));
         self.running[index(class)] += 1;
         self.limit.started(self.running());
         if class == Class::Background {
-            self.progress = now;
+            self.background_progress = now;
         }
         Permit {
             class,
@@ -400,7 +396,7 @@
     }
 
     fn dispatch(&mut self, now: Ms, out: &mut Vec<Wake>) {
-        self.expire(now, out);
+        self.refuse_expired(now, out);
         while let Some(class) = self.next_class(now) {
             let Some(entry) = self.queues[index(class)].pop() else {
                 return;
@@ -410,13 +406,13 @@
         }
     }
 
-    /// Refuses waiting work that can no longer finish, so that its caller learns it at once.
-    fn expire(&mut self, now: Ms, out: &mut Vec<Wake>) {
+    /// Refuses waiting requests that can no longer finish before their deadline.
+    fn refuse_expired(&mut self, now: Ms, out: &mut Vec<Wake>) {
         for class in CLASS_ORDER {
             let service = self.limit.service(class);
             let idle = self.running[index(class)] == 0;
-            let needed = if idle { 0 } else { service };
-            let late = self.queues[index(class)].take_until(now + needed);
+            let required = if idle { 0 } else { service };
+            let late = self.queues[index(class)].take_until(now + required);
             out.extend(
                 late.into_iter()
                     .map(|it| Wake::Refuse(it.ticket, Refusal::new(Reason::Expired))),
@@ -424,32 +420,30 @@
         }
     }
 
-    /// Refuses waiting work that would expire in its place in the queue.
-    ///
-    /// It was offered when there was more room. Left to wait, its caller would learn only near the deadline
-    /// that nothing came of it, too late to go elsewhere.
-    fn review(&mut self, now: Ms, out: &mut Vec<Wake>) {
+    /// Refuses waiting requests whose deadline would pass at their position in the queue, for example after the
+    /// upstream lost slots, so that their callers have time to retry elsewhere.
+    fn refuse_unservable(&mut self, now: Ms, out: &mut Vec<Wake>) {
         for class in CLASS_ORDER {
-            let entitled = self.entitled(class);
+            let expected_slots = self.expected_slots(class);
             let service = self.limit.service(class) as f64;
-            let mut place = 0.0;
+            let mut position = 0.0;
             let late = self.queues[index(class)].take_if(|it| {
-                place += 1.0;
-                let spare = it.deadline.since(now) as f64 - service;
-                let late = place > 1.0 && place * service / entitled > spare;
-                place -= f64::from(u8::from(late));
-                late
+                position += 1.0;
+                let slack = it.deadline.since(now) as f64 - service;
+                let is_late = position > 1.0 && position * service / expected_slots > slack;
+                position -= f64::from(u8::from(is_late));
+                is_late
             });
-            let after = self.wait_of(class, 1);
+            let after = self.estimated_wait(class, 1);
             let refusal = Refusal::after(Reason::Overloaded, after);
             out.extend(late.into_iter().map(|it| Wake::Refuse(it.ticket, refusal)));
         }
     }
 
-    /// The class whose first request runs next, if a slot is free for any.
+    /// Returns the class whose first request runs next, if a slot is free for any.
     fn next_class(&self, now: Ms) -> Option<Class> {
-        let ready = |it: &Class| !self.queue(*it).is_empty() && self.has_room(*it);
-        if ready(&Class::Background) && now.since(self.progress) >= self.settings.aging {
+        let ready = |it: &Class| !self.queue(*it).is_empty() && self.has_slot(*it);
+        if ready(&Class::Background) && now.since(self.background_progress) >= self.settings.aging {
             return Some(Class::Background);
         }
         CLASS_ORDER
@@ -458,15 +452,15 @@
             .min_by(|lhs, rhs| self.charge(*lhs).total_cmp(&self.charge(*rhs)))
     }
 
-    /// Slot time consumed by a class, with what its running requests are expected to consume.
+    /// Returns the weighted slot time consumed by a class, including the expected time of its running requests.
     fn charge(&self, class: Class) -> f64 {
         let running = self.running[index(class)] as f64 * self.limit.service(class).max(1) as f64;
         self.consumed[index(class)] + running / self.settings.weights[index(class)]
     }
 }
 
-/// Time after which the chances of waiting work are looked at again, in ms.
-const REVIEW: u64 = 100;
+/// Interval of the check of waiting requests, in ms.
+const REVIEW_INTERVAL_MS: u64 = 100;
 const CLASS_ORDER: [Class; CLASSES] = [Class::Interactive, Class::Exact, Class::Background];
 
 fn clamp(count: usize) -> u16 {
--- a/crates/kernel/src/admission/kinds.rs
+++ b/crates/kernel/src/admission/kinds.rs
@@ -1,174 +1,176 @@
-//! Kinds of requests at one upstream: how long each holds a slot, and how many slots each held of late.
+//! Kinds of requests at one upstream: the mean service time of each and the mean number of slots that it holds.
 
 use super::ranks::RANKS;
 use crate::{clock::Ms, utils::hash64};
 
-/// What entries call requests that take alike: the same for all of one route. Zero if an entry does not say.
+/// Identifies requests of similar service time: those of one route. Zero if the entry did not send a kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Kind(pub u32);
 
 impl Kind {
-    /// The kind of requests of the route `name`.
+    /// Returns the kind of the requests of the route `name`.
     pub fn of(name: &str) -> Kind {
         Kind((hash64(&[name.as_bytes()]) as u32).max(1))
     }
 }
 
-/// A kind as [`Kinds`] knows it.
+/// Index of a kind in [`Kinds`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Key(u16);
 
-/// The kinds of one upstream. The first [`RANKS`] stand for whole ranks.
+/// Statistics of the kinds of one upstream. The first [`RANKS`] are those of whole ranks.
 #[derive(Debug)]
 pub(super) struct Kinds {
-    known: Vec<State>,
+    stats: Vec<KindStats>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct State {
+struct KindStats {
     kind: Kind,
     rank: usize,
     /// Mean time that a request holds a slot, in ms.
     service: f64,
-    /// Smallest share of the next sample in it.
+    /// Weight of the last sample in `service`.
     gain: f64,
     running: usize,
-    /// Mean number of slots held of late.
-    held: f64,
-    used: Ms,
+    /// Moving average of the number of slots held.
+    mean_slots: f64,
+    last_used: Ms,
 }
 
-/// Most kinds told apart besides whole ranks: an upstream serves a few routes and is called by a few more.
+/// Maximum number of kinds besides whole ranks.
 const KINDS_MAX: usize = 32;
-/// Share of a new sample in the mean time that a request holds a slot: some thirty samples, half a second of a busy
-/// upstream, so a slowed upstream is noticed within a second. A new kind's first samples count for more, so that it is
-/// not held against the mean of its rank for long.
+/// Weight of a new sample in the mean service time. The first samples of a new kind weigh more, so that it soon departs
+/// from the mean of its rank.
 const SERVICE_GAIN: f64 = 0.03;
-/// Hold time assumed before the first sample, in ms.
-const SERVICE_FIRST: f64 = 50.0;
+/// Service time assumed before the first sample, in ms.
+const INITIAL_SERVICE_MS: f64 = 50.0;
 
 impl Kinds {
-    /// None but the ranks.
+    /// Creates statistics for the ranks only.
     pub(super) fn new() -> Kinds {
-        let known = (0..RANKS).map(|rank| State {
+        let stats = (0..RANKS).map(|rank| KindStats {
             gain: SERVICE_GAIN,
-            ..State::new(Kind(0), rank, SERVICE_FIRST)
+            ..KindStats::new(Kind(0), rank, INITIAL_SERVICE_MS)
         });
         Kinds {
-            known: known.collect(),
+            stats: stats.collect(),
         }
     }
 
-    /// The key of `kind` in `rank`; that of its rank if it is not known and there is no room for it.
+    /// Returns the key of `kind` in `rank`, or that of its rank if `kind` is zero or there is no room for it.
     pub(super) fn key(&mut self, now: Ms, kind: Kind, rank: usize) -> Key {
         if kind == Kind(0) {
             return Key(rank as u16);
         }
-        let found = self.known[RANKS..]
+        let found = self.stats[RANKS..]
             .iter()
             .position(|it| it.kind == kind && it.rank == rank);
-        let at = match found {
+        let idx = match found {
             Some(it) => RANKS + it,
-            None => match self.room(kind, rank) {
+            None => match self.allocate(kind, rank) {
                 Some(it) => it,
                 None => return Key(rank as u16),
             },
         };
-        self.known[at].used = now;
-        Key(at as u16)
+        self.stats[idx].last_used = now;
+        Key(idx as u16)
     }
 
-    /// Mean time that a request of `key` holds a slot, in ms.
+    /// Returns the mean service time of `key`, in ms.
     pub(super) fn service(&self, key: Key) -> f64 {
-        self.known[usize::from(key.0)].service
+        self.stats[usize::from(key.0)].service
     }
 
-    /// The same of a whole rank.
+    /// Returns the mean service time of all requests of `rank`, in ms.
     pub(super) fn rank_service(&self, rank: usize) -> f64 {
-        self.known[rank].service
+        self.stats[rank].service
     }
 
-    /// Requests running.
+    /// Returns the number of running requests.
     pub(super) fn running(&self) -> usize {
-        self.known.iter().map(|it| it.running).sum()
+        self.stats.iter().map(|it| it.running).sum()
     }
 
-    /// Slots held of late by kinds for which `holds` is true of their rank and mean hold time.
-    pub(super) fn held(&self, holds: impl Fn(usize, f64) -> bool) -> f64 {
-        let kinds = self.known.iter().filter(|it| holds(it.rank, it.service));
-        kinds.map(|it| it.held).sum()
+    /// Returns the mean number of slots held by the kinds whose rank and mean service time match `predicate`.
+    pub(super) fn mean_slots(&self, predicate: impl Fn(usize, f64) -> bool) -> f64 {
+        let kinds = self
+            .stats
+            .iter()
+            .filter(|it| predicate(it.rank, it.service));
+        kinds.map(|it| it.mean_slots).sum()
     }
 
-    /// Mean time that the running requests hold a slot, in ms.
-    pub(super) fn mean(&self) -> f64 {
-        let held: f64 = self.known.iter().map(|it| it.held).sum();
+    /// Returns the mean service time over all kinds, weighted by their request rates, in ms.
+    pub(super) fn mean_service(&self) -> f64 {
+        let held: f64 = self.stats.iter().map(|it| it.mean_slots).sum();
         if held < 0.1 {
-            return SERVICE_FIRST;
+            return INITIAL_SERVICE_MS;
         }
-        // Slots held divided by holds begun a unit of time; a kind begins held/service of them.
-        let begun: f64 = self
-            .known
+        // Little's law: a kind that holds `mean_slots` slots starts `mean_slots / service` requests per ms.
+        let start_rate: f64 = self
+            .stats
             .iter()
-            .map(|it| it.held / it.service.max(1.0))
+            .map(|it| it.mean_slots / it.service.max(1.0))
             .sum();
-        held / begun
+        held / start_rate
     }
 
-    /// Notes that a request has started.
+    /// Records the start of a request.
     pub(super) fn started(&mut self, key: Key) {
-        self.known[usize::from(key.0)].running += 1;
+        self.stats[usize::from(key.0)].running += 1;
     }
 
-    /// Notes that a request has ended, and how long it held its slot if that says something.
+    /// Records the end of a request; `took` is its service time, if it counts as a sample.
     pub(super) fn ended(&mut self, key: Key, took: Option<u64>) {
-        let state = &mut self.known[usize::from(key.0)];
+        let state = &mut self.stats[usize::from(key.0)];
         state.running -= 1;
         let rank = state.rank;
         let Some(took) = took else {
             return;
         };
-        state.sample(took as f64);
+        state.add_sample(took as f64);
         if usize::from(key.0) != rank {
-            self.known[rank].sample(took as f64);
+            self.stats[rank].add_sample(took as f64);
         }
     }
 
-    /// Brings the slots held of late up to date: what runs now counts with `gain`.
+    /// Updates the mean numbers of held slots; the present numbers weigh `gain`.
     pub(super) fn observe(&mut self, gain: f64) {
-        for it in &mut self.known {
-            it.held += gain * (it.running as f64 - it.held);
+        for it in &mut self.stats {
+            it.mean_slots += gain * (it.running as f64 - it.mean_slots);
         }
     }
 
-    /// A place for a new kind: a free one, or that of the kind that was not asked for for longest and runs nothing.
-    fn room(&mut self, kind: Kind, rank: usize) -> Option<usize> {
-        let state = State::new(kind, rank, self.known[rank].service);
-        if self.known.len() < RANKS + KINDS_MAX {
-            self.known.push(state);
-            return Some(self.known.len() - 1);
+    /// Returns the index for a new kind. At the maximum it replaces the least recently used kind without running requests.
+    fn allocate(&mut self, kind: Kind, rank: usize) -> Option<usize> {
+        let state = KindStats::new(kind, rank, self.stats[rank].service);
+        if self.stats.len() < RANKS + KINDS_MAX {
+            self.stats.push(state);
+            return Some(self.stats.len() - 1);
         }
-        let idle = self.known.iter().enumerate().skip(RANKS);
+        let idle = self.stats.iter().enumerate().skip(RANKS);
         let idle = idle.filter(|(_, it)| it.running == 0);
-        let (at, _) = idle.min_by_key(|(_, it)| it.used)?;
-        self.known[at] = state;
-        Some(at)
+        let (idx, _) = idle.min_by_key(|(_, it)| it.last_used)?;
+        self.stats[idx] = state;
+        Some(idx)
     }
 }
 
-impl State {
-    fn new(kind: Kind, rank: usize, service: f64) -> State {
-        State {
+impl KindStats {
+    fn new(kind: Kind, rank: usize, service: f64) -> KindStats {
+        KindStats {
             kind,
             rank,
             service,
             gain: 1.0,
             running: 0,
-            held: 0.0,
-            used: Ms(0),
+            mean_slots: 0.0,
+            last_used: Ms(0),
         }
     }
 
-    fn sample(&mut self, took: f64) {
+    fn add_sample(&mut self, took: f64) {
         self.gain = (self.gain / (1.0 + self.gain)).max(SERVICE_GAIN);
         self.service += self.gain * (took - self.service);
     }
--- a/crates/kernel/src/admission/load.rs
+++ b/crates/kernel/src/admission/load.rs
@@ -1,15 +1,15 @@
-//! The load of an upstream, as its owner tells it.
+//! Load of an upstream, as reported by its owner.
 
 use std::{fmt, str::FromStr};
 
 /// Load of an upstream, sent back with each answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests running.
+    /// Number of running requests.
     pub running: u16,
-    /// Requests waiting, other than background ones.
+    /// Number of waiting requests, without background ones.
     pub waiting: u16,
-    /// Requests that may run at once at present.
+    /// Current concurrency limit.
     pub limit: u16,
 }
 
--- a/crates/kernel/src/admission/queue.rs
+++ b/crates/kernel/src/admission/queue.rs
@@ -1,13 +1,12 @@
-//! Waiting requests of one class, earliest deadline first.
+//! Queue of the waiting requests of one class, earliest deadline first.
 
 use std::collections::BTreeSet;
 
 use crate::{admission::Ticket, clock::Ms, document::Class};
 
-/// Number of classes.
 pub const CLASSES: usize = 3;
 
-/// Place of a class in tables by class.
+/// Returns the index of a class in arrays by class.
 pub fn index(class: Class) -> usize {
     match class {
         Class::Interactive => 0,
@@ -16,14 +15,14 @@
     }
 }
 
-/// A waiting request. The order is by deadline, then by arrival.
+/// A waiting request. Ordered by deadline, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Entry {
     pub deadline: Ms,
     pub ticket: Ticket,
 }
 
-/// The queue of one class; its length is bounded by the caller.
+/// Queue of one class. The caller bounds its length.
 #[derive(Debug, Default)]
 pub struct Queue {
     entries: BTreeSet<Entry>,
@@ -50,21 +49,21 @@
         self.entries.pop_first()
     }
 
-    /// Entries that run before one with `deadline`.
-    pub fn before(&self, deadline: Ms) -> usize {
+    /// Returns the number of entries that run before one with `deadline`.
+    pub fn count_before(&self, deadline: Ms) -> usize {
         self.entries
             .iter()
             .take_while(|it| it.deadline <= deadline)
             .count()
     }
 
-    /// Removes `ticket` and tells whether it was there.
+    /// Removes `ticket`; returns whether it was queued.
     pub fn remove(&mut self, ticket: Ticket) -> bool {
         let found = self.entries.iter().find(|it| it.ticket == ticket).copied();
         found.is_some_and(|it| self.entries.remove(&it))
     }
 
-    /// Removes and returns the entries whose deadline is not after `until`.
+    /// Removes and returns the entries with deadlines up to `until`.
     pub fn take_until(&mut self, until: Ms) -> Vec<Entry> {
         let mut taken = Vec::new();
         while let Some(entry) = self.entries.first().copied() {
@@ -77,11 +76,11 @@
         taken
     }
 
-    /// Removes and returns the entries for which `gone` holds, asked in order.
-    pub fn take_if(&mut self, mut gone: impl FnMut(&Entry) -> bool) -> Vec<Entry> {
+    /// Removes and returns the entries that match `predicate`, which is called in order.
+    pub fn take_if(&mut self, mut predicate: impl FnMut(&Entry) -> bool) -> Vec<Entry> {
         let (taken, kept) = std::mem::take(&mut self.entries)
             .into_iter()
-            .partition(|it| gone(it));
+            .partition(|it| predicate(it));
         self.entries = BTreeSet::from_iter::<Vec<Entry>>(kept);
         taken
     }
--- a/crates/kernel/src/admission/ranks.rs
+++ b/crates/kernel/src/admission/ranks.rs
@@ -1,18 +1,8 @@
-//! Admission by rank and goal, for routes that give a priority and a latency goal.
+//! Admission control by priority and latency goal, for routes that set both.
 //!
-//! An upstream has few slots, and a request that starts too late to reach its goal takes as long as one that
-//! reaches it but is worth a third to its caller. First come first served answers everything late once more
-//! arrives than fits: each request waits behind others that are late already. So the order is:
-//!
-//! 1. by priority, strictly;
-//! 2. within one, those that can still reach their goal, earliest goal first;
-//! 3. then those that can only be late, earliest deadline first.
-//!
-//! Requests of one priority differ in how long they hold a slot, so each is held against the mean of its own kind,
-//! learned here: with one mean for all, long requests queue up to their goals and shut out the short ones.
-//!
-//! What could not be served in time by its place in that order is refused at once, as long as it can go
-//! elsewhere or come back. A lower priority is never shut out for longer than [`STARVED_MS`].
+//! Waiting requests run by priority; within one, first those that can still reach their goal, earliest goal first, then
+//! the late ones, earliest deadline first. Service times are averaged per kind of request. A request that would wait too
+//! long is refused at once, and a lower priority gets at least one start every [`STARVATION_MS`] while it waits.
 
 use std::{collections::BTreeSet, fmt, str::FromStr};
 
@@ -27,70 +17,64 @@
     routing,
 };
 
-/// Priorities told apart; higher numbers count as the last.
+/// Number of ranks; higher priority numbers belong to the last rank.
 pub const RANKS: usize = 4;
-/// Longest time without a start that a waiting request's priority endures while others start, in ms: with slots
-/// held for some hundred ms, one start in this time keeps it at a few in a hundred of the upstream.
-pub const STARVED_MS: u64 = 500;
-/// Time that must be left to the goal at the start, as a multiple of the mean hold time, for a request to count as
-/// timely. With the mean alone two of five runs take too long, and an overloaded upstream starts nearly all at
-/// that point; measured over the loads of `tests/ranks.rs`, a quarter more serves the most in time.
-const NEEDED: f64 = 1.25;
-/// Time over which the work of more urgent priorities is averaged, in ms.
-const MEMORY_MS: f64 = 1_000.0;
-/// Largest share of the time left that a request which can only be late may wait, as its divisor. A caller
-/// that is refused later than that has no time left to come back.
-const LATE_SHARE: u64 = 16;
-/// Least time left with which a caller that is refused can come back, in mean hold times: it has to hear of the
-/// refusal, wait for a slot and run. With less, a request waits for as long as it can still be answered: short calls
-/// of runs, whose refusal fails the run. On a recorded load where lookups crowd such calls, 10 in 100 reads failed for
-/// it instead of 29.
-const RETURN_HOLDS: f64 = 4.0;
-/// Largest share of the time to its goal that a request with other endpoints to ask may wait, as its divisor: many
-/// times what a hop to another endpoint of the zone takes. With no wait at all the most urgent requests would pass by
-/// an endpoint whose next free slot is theirs in some ms.
-const SHORT_SHARE: u64 = 12;
-/// Time after which waiting requests are looked at again, in ms.
-const REVIEW_MS: u64 = 20;
-
-/// A request that asks for a slot.
+/// Maximum time without a start for a rank with waiting requests while other ranks start some, in ms.
+pub const STARVATION_MS: u64 = 500;
+/// Time left to the goal that a request needs to count as timely, as a multiple of the mean service time.
+const TIMELY_FACTOR: f64 = 1.25;
+/// Averaging time of the slots held by each kind, in ms.
+const AVERAGING_MS: f64 = 1_000.0;
+/// Divisor of the time left to the deadline that gives the maximum wait of a late request. A caller that is refused
+/// later has no time left to retry.
+const LATE_WAIT_DIVISOR: u64 = 16;
+/// Minimum time left to the deadline with which a refused caller can retry, in mean service times. With less, a request
+/// waits as long as it can still be answered.
+const RETRY_FACTOR: f64 = 4.0;
+/// Divisor of the time left to the goal that gives the maximum wait with [`Queue::Short`]. It is above zero so that
+/// urgent requests can wait for the next free slot.
+const SHORT_WAIT_DIVISOR: u64 = 12;
+/// Interval of the check of waiting requests, in ms.
+const REVIEW_INTERVAL_MS: u64 = 20;
+
+/// A request offered for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Zero is the most urgent.
+    /// Priority; zero is the most urgent.
     pub priority: u8,
-    /// Until then the answer is of full use.
+    /// Time up to which the answer is in time.
     pub goal: Ms,
-    /// From then on it is of none.
+    /// Time from which the answer is of no use.
     pub deadline: Ms,
-    /// How long it may wait for a slot.
+    /// Limit of the wait for a slot.
     pub queue: Queue,
-    /// Its kind, if the entry says it.
+    /// Kind of the request, if the entry sent it.
     pub kind: Kind,
 }
 
-/// How long a request may wait for a slot.
+/// Limit of a request's wait for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Queue {
-    /// As long as it is of use.
+    /// As long as the answer is of use.
     Full,
-    /// A small part of the time to its goal: another endpoint may have a free slot.
+    /// A small part of the time left to the goal, as another endpoint may have a free slot.
     Short,
 }
 
-/// What a request that arrives now can expect, by rank; sent back with each answer.
+/// Expected wait and service time of a new request by rank; sent back with each answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outlook {
-    /// Slots that nobody holds.
+    /// Number of free slots.
     pub free: u16,
-    /// All slots.
+    /// Number of slots.
     pub slots: u16,
     /// Expected wait for a slot, in ms.
     pub wait: [u16; RANKS],
-    /// Mean time that a request holds its slot, in ms.
+    /// Mean service time, in ms.
     pub service: [u16; RANKS],
 }
 
-/// Admits work to one upstream.
+/// Admission control of one upstream by priority and goal.
 #[derive(Debug)]
 pub struct Ranks {
     phase: Phase,
@@ -98,42 +82,40 @@
     kinds: Kinds,
     waiting: BTreeSet<Entry>,
     observed: Ms,
-    /// When each rank last started a request, or began to wait.
+    /// Time at which each rank last started a request, or began to wait in an empty queue.
     progress: [Ms; RANKS],
-    tickets: u64,
+    last_ticket: u64,
 }
 
-/// A waiting request. The order is by rank, then by goal, then by arrival.
+/// A waiting request. Ordered by rank, then by goal, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
     rank: usize,
-    lane: Lane,
+    timeliness: Timeliness,
     due: Ms,
     ticket: Ticket,
     deadline: Ms,
     kind: Key,
 }
 
-/// Where a request that is not refused goes.
+/// Result of the decision on a request that is not refused.
 #[derive(Clone, Copy, Debug)]
-enum Place {
-    /// To a free slot: nobody goes first.
+enum Decision {
+    /// Starts in a free slot.
     Slot(Entry),
-    /// Behind others.
+    /// Waits behind other requests.
     Queue(Entry),
 }
 
-/// Whether a request can still reach its goal.
+/// Whether a request can still reach its goal. Timely requests sort first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Lane {
-    /// It can.
+enum Timeliness {
     Timely,
-    /// It can only be late.
     Late,
 }
 
 impl Ranks {
-    /// Admission to an upstream that handles `slots` requests at once. It starts [`Phase::Warming`].
+    /// Creates the admission control of an upstream with `slots` slots, in [`Phase::Warming`].
     pub fn new(slots: u16) -> Ranks {
         Ranks {
             phase: Phase::Warming,
@@ -142,15 +124,15 @@
             waiting: BTreeSet::new(),
             observed: Ms(0),
             progress: [Ms(0); RANKS],
-            tickets: 0,
+            last_ticket: 0,
         }
     }
 
-    /// Offers a request.
+    /// Runs, queues or refuses a request.
     pub fn offer(&mut self, now: Ms, order: Order) -> Offer {
-        let entry = match self.judge(now, order) {
-            Ok(Place::Slot(it)) => return Offer::Run(self.start(now, it)),
-            Ok(Place::Queue(it)) => it,
+        let entry = match self.decide(now, order) {
+            Ok(Decision::Slot(it)) => return Offer::Run(self.start(now, it)),
+            Ok(Decision::Queue(it)) => it,
             Err(refusal) => return Offer::Refuse(refusal),
         };
         let rank = entry.rank;
@@ -161,12 +143,12 @@
         Offer::Wait(entry.ticket)
     }
 
-    /// Whether a request would be let in now. One with a long body is asked about before the body is read.
+    /// Returns the refusal that `offer` would give now. Used before a long body is read.
     pub fn check(&mut self, now: Ms, order: Order) -> Result<(), Refusal> {
-        self.judge(now, order).map(drop)
+        self.decide(now, order).map(drop)
     }
 
-    /// Takes a permit back and fills the slot that it frees.
+    /// Returns a permit and starts waiting requests in the freed slot.
     pub fn done(&mut self, now: Ms, permit: Permit, finish: Finish, out: &mut Vec<Wake>) {
         self.observe(now);
         let took = match finish {
@@ -177,28 +159,28 @@
         self.dispatch(now, out);
     }
 
-    /// Forgets a waiting request whose caller gave up; tells whether it was waiting.
+    /// Removes a waiting request whose caller gave up; returns whether it was waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let found = self.waiting.iter().find(|it| it.ticket == ticket).copied();
         found.is_some_and(|it| self.waiting.remove(&it))
     }
 
-    /// Refuses what waits in vain and starts what may run. Due at [`Ranks::due`].
+    /// Refuses unservable waiting requests and starts others. Call it at [`Ranks::due`].
     pub fn tick(&mut self, now: Ms, out: &mut Vec<Wake>) {
         self.observe(now);
-        self.review(now, out);
+        self.refuse_unservable(now, out);
         self.dispatch(now, out);
     }
 
-    /// When [`Ranks::tick`] is next needed, if anything waits.
+    /// Returns the time of the next [`Ranks::tick`], if any request waits.
     pub fn due(&self) -> Option<Ms> {
-        (!self.waiting.is_empty()).then_some(self.observed + REVIEW_MS)
+        (!self.waiting.is_empty()).then_some(self.observed + REVIEW_INTERVAL_MS)
     }
 
-    /// Follows the upstream's phase. Leaving [`Phase::Ready`] refuses every waiting request at once.
+    /// Sets the upstream's phase. Any phase but [`Phase::Ready`] refuses all waiting requests at once.
     pub fn set_phase(&mut self, now: Ms, phase: Phase, out: &mut Vec<Wake>) {
         self.phase = phase;
-        let Some(reason) = closed(phase) else {
+        let Some(reason) = phase_reason(phase) else {
             return self.dispatch(now, out);
         };
         let waiting = std::mem::take(&mut self.waiting);
@@ -209,13 +191,13 @@
         );
     }
 
-    /// Follows the number of slots that the upstream announces.
+    /// Sets the number of slots that the upstream announced.
     pub fn set_slots(&mut self, now: Ms, slots: u16, out: &mut Vec<Wake>) {
         self.slots = usize::from(slots.max(1));
         self.dispatch(now, out);
     }
 
-    /// What a request that arrives now can expect.
+    /// Returns the expected wait and service time of a new request by rank.
     pub fn outlook(&self) -> Outlook {
         let mut outlook = Outlook {
             free: clamp(
@@ -229,7 +211,7 @@
             let ahead = self.waiting.iter().filter(|it| it.rank <= rank).count();
             let wait = match self.running() + ahead < self.slots {
                 true => 0,
-                false => self.wait(
+                false => self.estimated_wait(
                     rank,
                     self.kinds.rank_service(rank),
                     self.waiting.iter().filter(|it| it.rank <= rank),
@@ -241,49 +223,49 @@
         outlook
     }
 
-    /// Requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.kinds.running()
     }
 
-    /// Requests waiting.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests that may run at once.
+    /// Returns the number of slots.
     pub fn slots(&self) -> usize {
         self.slots
     }
 
     fn entry(&mut self, now: Ms, order: Order) -> Entry {
-        self.tickets += 1;
+        self.last_ticket += 1;
         let rank = rank_of(order.priority);
         let kind = self.kinds.key(now, order.kind, rank);
         let mut entry = Entry {
             rank,
-            lane: Lane::Timely,
+            timeliness: Timeliness::Timely,
             due: order.goal,
-            ticket: Ticket(self.tickets),
+            ticket: Ticket(self.last_ticket),
             deadline: order.deadline,
             kind,
         };
-        self.age(now, &mut entry);
+        self.mark_late(now, &mut entry);
         entry
     }
 
-    /// Moves what can no longer reach its goal behind what can.
-    fn age(&self, now: Ms, entry: &mut Entry) {
-        let needed = needed(self.kinds.service(entry.kind));
-        if entry.lane == Lane::Timely && entry.due.since(now) < needed {
-            entry.lane = Lane::Late;
+    /// Marks an entry as late, which moves it behind the timely ones, if it can no longer reach its goal.
+    fn mark_late(&self, now: Ms, entry: &mut Entry) {
+        let required = required_time(self.kinds.service(entry.kind));
+        if entry.timeliness == Timeliness::Timely && entry.due.since(now) < required {
+            entry.timeliness = Timeliness::Late;
             entry.due = entry.deadline;
         }
     }
 
-    /// A request's place, or why it has none.
-    fn judge(&mut self, now: Ms, order: Order) -> Result<Place, Refusal> {
-        if let Some(reason) = closed(self.phase) {
+    /// Decides whether a request starts, waits or is refused.
+    fn decide(&mut self, now: Ms, order: Order) -> Result<Decision, Refusal> {
+        if let Some(reason) = phase_reason(self.phase) {
             return Err(Refusal::new(reason));
         }
         if order.deadline <= now {
@@ -291,40 +273,44 @@
         }
         self.observe(now);
         let entry = self.entry(now, order);
-        if self.startable(&entry) {
-            return Ok(Place::Slot(entry));
+        if self.can_start(&entry) {
+            return Ok(Decision::Slot(entry));
         }
         let service = self.kinds.service(entry.kind);
-        let wait = self.wait(entry.rank, service, self.waiting.range(..&entry));
-        let longest = self.longest(now, order, service);
-        match wait > longest {
-            true => Err(Refusal::after(Reason::Overloaded, wait - longest)),
-            false => Ok(Place::Queue(entry)),
+        let wait = self.estimated_wait(entry.rank, service, self.waiting.range(..&entry));
+        let max_wait = self.max_wait(now, order, service);
+        match wait > max_wait {
+            true => Err(Refusal::after(Reason::Overloaded, wait - max_wait)),
+            false => Ok(Decision::Queue(entry)),
         }
     }
 
-    /// Whether a slot is free and nobody goes first.
-    fn startable(&self, entry: &Entry) -> bool {
+    /// Returns whether a slot is free and no waiting request goes first.
+    fn can_start(&self, entry: &Entry) -> bool {
         self.running() < self.slots && self.waiting.range(..entry).next().is_none()
     }
 
-    /// Expected wait of a request of `rank` that holds a slot for `service` behind `ahead`, in ms.
+    /// Returns the expected wait of a request of `rank` and service time `service` behind the requests `ahead`, in ms.
     ///
-    /// All slots are taken: one comes free each mean hold time divided by the slots. Those of higher rank that wait
-    /// take the first of them; of the rest, requests still to arrive that go first take their usual part: those of
-    /// higher rank, and much shorter ones of the same.
-    fn wait<'a>(&self, rank: usize, service: f64, ahead: impl Iterator<Item = &'a Entry>) -> u64 {
-        let first =
+    /// All slots are taken. Waiting requests that go first get the next free slots, and those still to arrive hold
+    /// their mean number of slots: requests of more urgent ranks, and much shorter ones of the same rank.
+    fn estimated_wait<'a>(
+        &self,
+        rank: usize,
+        service: f64,
+        ahead: impl Iterator<Item = &'a Entry>,
+    ) -> u64 {
+        let goes_first =
             |other: usize, held: f64| other < rank || (other == rank && held * 2.0 < service);
-        let usual = self.kinds.held(first);
-        // The least that a rank is given: one start in STARVED_MS.
-        let hold = self.kinds.mean();
-        let least = hold / STARVED_MS as f64;
-        let slots = (self.slots as f64 - usual).max(least);
-        let (mut urgent, mut own) = (0.0, hold);
+        let reserved = self.kinds.mean_slots(goes_first);
+        // Minimum of every rank: one start per STARVATION_MS.
+        let mean = self.kinds.mean_service();
+        let least = mean / STARVATION_MS as f64;
+        let slots = (self.slots as f64 - reserved).max(least);
+        let (mut urgent, mut own) = (0.0, mean);
         for it in ahead {
             let held = self.kinds.service(it.kind);
-            match first(it.rank, held) {
+            match goes_first(it.rank, held) {
                 true => urgent += held,
                 false => own += held,
             }
@@ -332,18 +318,18 @@
         (urgent / self.slots as f64 + own / slots) as u64
     }
 
-    /// Longest wait that leaves the request of use, in ms.
-    fn longest(&self, now: Ms, order: Order, service: f64) -> u64 {
-        let timely = order.goal.since(now).saturating_sub(needed(service));
+    /// Returns the maximum wait of a request, in ms.
+    fn max_wait(&self, now: Ms, order: Order, service: f64) -> u64 {
+        let timely = order.goal.since(now).saturating_sub(required_time(service));
         let left = order.deadline.since(now);
         let answerable = left.saturating_sub(service as u64);
-        let late = match (left as f64) < RETURN_HOLDS * self.kinds.mean() {
+        let late = match (left as f64) < RETRY_FACTOR * self.kinds.mean_service() {
             true => answerable,
-            false => answerable.min(left / LATE_SHARE),
+            false => answerable.min(left / LATE_WAIT_DIVISOR),
         };
         match order.queue {
             Queue::Full => timely.max(late),
-            Queue::Short => timely.min(order.goal.since(now) / SHORT_SHARE),
+            Queue::Short => timely.min(order.goal.since(now) / SHORT_WAIT_DIVISOR),
         }
     }
 
@@ -372,26 +358,26 @@
         }
     }
 
-    /// The request that runs next: a rank that was shut out for too long, else the first in order.
+    /// Returns the request that runs next: the first of a starved rank, else the first in order.
     fn next(&self, now: Ms) -> Option<Entry> {
         let first = self.waiting.first()?;
         let starved = self
             .waiting
             .iter()
-            .find(|it| it.rank > first.rank && now.since(self.progress[it.rank]) >= STARVED_MS);
+            .find(|it| it.rank > first.rank && now.since(self.progress[it.rank]) >= STARVATION_MS);
         Some(*starved.unwrap_or(first))
     }
 
-    /// Looks at what waits again, and refuses what waits in vain.
-    fn review(&mut self, now: Ms, out: &mut Vec<Wake>) {
+    /// Marks waiting requests that became late and refuses those that can no longer be answered in time.
+    fn refuse_unservable(&mut self, now: Ms, out: &mut Vec<Wake>) {
         let waiting = std::mem::take(&mut self.waiting);
         for mut entry in waiting {
             let service = self.kinds.service(entry.kind);
-            self.age(now, &mut entry);
-            // Half the mean: a run may be shorter than most, but less time than that is hardly ever enough.
-            let hopeless = entry.deadline.since(now) <= (service / 2.0) as u64;
-            if hopeless {
-                let after = self.wait(entry.rank, service, std::iter::empty());
+            self.mark_late(now, &mut entry);
+            // Half the mean service time, as some requests are faster than the mean.
+            let unservable = entry.deadline.since(now) <= (service / 2.0) as u64;
+            if unservable {
+                let after = self.estimated_wait(entry.rank, service, std::iter::empty());
                 let refusal = Refusal::after(Reason::Overloaded, after);
                 out.push(Wake::Refuse(entry.ticket, refusal));
                 continue;
@@ -401,24 +387,24 @@
     }
 
     fn observe(&mut self, now: Ms) {
-        let elapsed = now.since(self.observed) as f64 / MEMORY_MS;
+        let elapsed = now.since(self.observed) as f64 / AVERAGING_MS;
         let gain = 1.0 - (-elapsed).exp();
         self.kinds.observe(gain);
         self.observed = self.observed.max(now);
     }
 }
 
-/// Time that a request needs to be in time more often than not, in ms.
-fn needed(service: f64) -> u64 {
-    (NEEDED * service) as u64
+/// Returns the time left to the goal that a request needs to count as timely, in ms.
+fn required_time(service: f64) -> u64 {
+    (TIMELY_FACTOR * service) as u64
 }
 
-/// The rank of a priority.
+/// Returns the rank of a priority.
 pub fn rank_of(priority: u8) -> usize {
     usize::from(priority).min(RANKS - 1)
 }
 
-fn closed(phase: Phase) -> Option<Reason> {
+fn phase_reason(phase: Phase) -> Option<Reason> {
     match phase {
         Phase::Ready => None,
         Phase::Warming => Some(Reason::NotReady),
@@ -433,7 +419,7 @@
 /// The text is not a valid [`Outlook`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "outlook {0:?} is not valid: use free/slots, then a wait and a hold time a rank; update both nodes"
+    "outlook {0:?} is not valid: use free/slots, then waits and service times by rank; update both nodes"
 )]
 pub struct BadOutlook(pub String);
 
--- a/crates/kernel/src/connections.rs
+++ b/crates/kernel/src/connections.rs
@@ -1,185 +1,188 @@
-//! Connections that callers hold open at one socket, and which of them makes room for a new one.
+//! Bounded set of the open connections of one socket, with eviction of idle ones.
 //!
-//! A caller that is refused tries again on a new connection and leaves the old one open and idle, for longer than it
-//! takes an overload to fill every place: 100 refusals a second fill 1,024 places in ten seconds. Were new connections
-//! closed then, idle ones would shut out all callers that open one for each request, and the upstream's own calls with
-//! them, while its slots are free. So the connection that has idled longest gives way: its caller loses a round trip
-//! at most, and what arrives on it meanwhile was not read, which lets the caller send it again.
+//! Refused callers often retry on new connections and leave the old ones open. At the limit, a new connection replaces
+//! the one that has been idle longest, so that idle connections do not shut out other callers.
 
 use crate::clock::Ms;
 
-/// An open connection. Keys of connections that have ended match nothing.
+/// Identifies an open connection. The key of a closed connection matches no other one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Key {
     slot: u32,
-    /// Tells a connection from those that had the slot before: requests may outlive their connection.
-    reuse: u32,
+    /// Number of earlier connections in the slot. Requests may outlive their connection.
+    generation: u32,
 }
 
-/// The open connections of one socket, at most a fixed number of them.
+/// Open connections of one socket, up to a fixed number.
 #[derive(Debug)]
 pub struct Connections {
-    places: usize,
+    capacity: usize,
     slots: Vec<Slot>,
     free: Vec<u32>,
 }
 
 #[derive(Debug)]
 struct Slot {
-    reuse: u32,
-    held: Option<Held>,
+    generation: u32,
+    connection: Option<Connection>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
-    /// Whether it was told to end.
+struct Connection {
+    /// Whether it is being closed.
     ending: bool,
-    /// Requests in progress.
+    /// Number of requests in progress.
     requests: u32,
-    /// When the connection was opened or its last request ended.
-    since: Ms,
+    /// Time at which the connection was opened or its last request ended.
+    idle_since: Ms,
 }
 
-/// What becomes of a new connection.
+/// Decision on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Entry {
-    /// It is served.
+    /// The connection is accepted.
     Open(Key),
-    /// It is served, and an idle one is to end in its place.
+    /// The connection is accepted, and an idle one must be closed.
     Replace {
         /// The new connection.
         new: Key,
-        /// The one that has idled longest.
+        /// The connection that has been idle longest.
         idle: Key,
     },
-    /// It is closed: every place has a request in progress or was in use a moment ago.
+    /// The connection is rejected: all others are busy or were used within [`IDLE_MIN_MS`].
     Full,
 }
 
-/// Open connections at one moment.
+/// Numbers of open connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// With a request in progress.
+    /// Connections with a request in progress.
     pub busy: usize,
-    /// Without one.
+    /// Connections without a request in progress.
     pub idle: usize,
-    /// The longest time for which one of them has idled, in ms.
+    /// Longest time for which a connection has been idle, in ms.
     pub longest: u64,
 }
 
-/// Shortest time for which a connection idles before it gives way, in ms: callers send on a new one within a round trip
-/// or two, and those that keep theirs for the next request use it about twice a second. A node of a fifth of a core
-/// takes far fewer new connections in that time than it has places.
-pub const IDLE_MIN: u64 = 1_000;
+/// Minimum idle time of a connection before it can be replaced, in ms. Callers usually send the next request within it.
+pub const IDLE_MIN_MS: u64 = 1_000;
 
 impl Connections {
-    /// None yet, and `places` for them.
-    pub fn new(places: usize) -> Connections {
+    /// Creates an empty set of at most `capacity` connections.
+    pub fn new(capacity: usize) -> Connections {
         Connections {
-            places,
+            capacity,
             slots: Vec::new(),
             free: Vec::new(),
         }
     }
 
-    /// Decides on a new connection.
+    /// Accepts a new connection, in place of an idle one if the set is full, or rejects it.
     pub fn enter(&mut self, now: Ms) -> Entry {
-        if self.open() < self.places {
-            return Entry::Open(self.hold(now));
+        if self.open_count() < self.capacity {
+            return Entry::Open(self.insert(now));
         }
-        let Some(idle) = self.idlest(now) else {
+        let Some(idle) = self.longest_idle(now) else {
             return Entry::Full;
         };
-        if let Some(it) = self.held(idle) {
+        if let Some(it) = self.get_mut(idle) {
             it.ending = true;
         }
-        let new = self.hold(now);
+        let new = self.insert(now);
         Entry::Replace { new, idle }
     }
 
-    /// Notes that a request has begun.
+    /// Records the start of a request.
     pub fn begin(&mut self, key: Key) {
-        if let Some(it) = self.held(key) {
+        if let Some(it) = self.get_mut(key) {
             it.requests += 1;
         }
     }
 
-    /// Notes that a request has its answer or was given up.
+    /// Records the end of a request.
     pub fn end(&mut self, key: Key, now: Ms) {
-        if let Some(it) = self.held(key) {
+        if let Some(it) = self.get_mut(key) {
             it.requests = it.requests.saturating_sub(1);
-            it.since = now;
+            it.idle_since = now;
         }
     }
 
-    /// Notes that the connection has ended.
+    /// Removes a closed connection.
     pub fn leave(&mut self, key: Key) {
-        if self.held(key).is_none() {
+        if self.get_mut(key).is_none() {
             return;
         }
         let slot = &mut self.slots[key.slot as usize];
-        slot.held = None;
-        slot.reuse = slot.reuse.wrapping_add(1);
+        slot.connection = None;
+        slot.generation = slot.generation.wrapping_add(1);
         self.free.push(key.slot);
     }
 
-    /// How many are open, busy and idle.
+    /// Returns the numbers of busy and idle connections.
     pub fn gauges(&self, now: Ms) -> Gauges {
         let mut gauges = Gauges::default();
-        for held in self.slots.iter().filter_map(|it| it.held) {
-            if held.requests > 0 {
+        for connection in self.slots.iter().filter_map(|it| it.connection) {
+            if connection.requests > 0 {
                 gauges.busy += 1;
                 continue;
             }
             gauges.idle += 1;
-            gauges.longest = gauges.longest.max(now.since(held.since));
+            gauges.longest = gauges.longest.max(now.since(connection.idle_since));
         }
         gauges
     }
 
-    /// The connection that has idled longest, if one has for [`IDLE_MIN`]. It looks at every place, for less than the
-    /// system calls of a new connection cost, and only while none is free.
-    fn idlest(&self, now: Ms) -> Option<Key> {
+    /// Returns the connection that has been idle longest, if for at least [`IDLE_MIN_MS`]. Scans all slots, but only when
+    /// the set is full.
+    fn longest_idle(&self, now: Ms) -> Option<Key> {
         let idle = self.slots.iter().enumerate().filter_map(|(idx, slot)| {
-            let held = slot.held.filter(|it| it.requests == 0 && !it.ending)?;
+            let connection = slot
+                .connection
+                .filter(|it| it.requests == 0 && !it.ending)?;
             let key = Key {
                 slot: idx as u32,
-                reuse: slot.reuse,
+                generation: slot.generation,
             };
-            Some((held.since, key))
+            Some((connection.idle_since, key))
         });
         let (since, key) = idle.min_by_key(|it| it.0)?;
-        (now.since(since) >= IDLE_MIN).then_some(key)
+        (now.since(since) >= IDLE_MIN_MS).then_some(key)
     }
 
-    fn open(&self) -> usize {
+    fn open_count(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    fn hold(&mut self, now: Ms) -> Key {
-        let held = Some(Held {
+    fn insert(&mut self, now: Ms) -> Key {
+        let connection = Some(Connection {
             ending: false,
             requests: 0,
-            since: now,
+            idle_since: now,
         });
         let Some(slot) = self.free.pop() else {
             let slot = self.slots.len() as u32;
-            self.slots.push(Slot { reuse: 0, held });
-            return Key { slot, reuse: 0 };
+            self.slots.push(Slot {
+                generation: 0,
+                connection,
+            });
+            return Key {
+                slot,
+                generation: 0,
+            };
         };
         let it = &mut self.slots[slot as usize];
-        it.held = held;
+        it.connection = connection;
         Key {
             slot,
-            reuse: it.reuse,
+            generation: it.generation,
         }
     }
 
-    fn held(&mut self, key: Key) -> Option<&mut Held> {
+    fn get_mut(&mut self, key: Key) -> Option<&mut Connection> {
         let slot = self.slots.get_mut(key.slot as usize)?;
-        if slot.reuse != key.reuse {
+        if slot.generation != key.generation {
             return None;
         }
-        slot.held.as_mut()
+        slot.connection.as_mut()
     }
 }
--- a/crates/kernel/src/drain.rs
+++ b/crates/kernel/src/drain.rs
@@ -1,12 +1,10 @@
-//! Drain: leaving without cutting a request in progress.
+//! Drain: stops the node without interrupting requests in progress.
 //!
-//! [`Event::Stop`] announces phase `Draining` at once: the node leaves [`Members::ready`], and with it
-//! every role that is chosen among ready members. It then waits for [`Event::Idle`], announces `Gone`
-//! and lets the driver exit with [`Action::Exit`]. Outcomes of claims that are not kept yet hold `Gone` back
-//! as long as the grace allows: a claim whose holder left is of unknown outcome for good.
+//! [`Event::Stop`] announces phase `Draining`, which removes the node from [`Members::ready`] and its roles. The node
+//! then waits for [`Event::Idle`] and for unsettled claims, whose outcomes would otherwise stay unknown, announces
+//! `Gone` and exits with [`Action::Exit`]. The grace period bounds the wait.
 //!
-//! Only entries that may still send to this node need the notice, so a node that had no upstream in the last
-//! [`NOTICE_MS`], or that knows no other member, does without it.
+//! A node without an upstream in the last [`NOTICE_MS`] or without other members skips the notice to the entries.
 //!
 //! [`Members::ready`]: crate::members::Members::ready
 
@@ -19,26 +17,25 @@
 
 inventory::submit! { Plugin { name: "drain", order: 80, scope: Scope::Any, handle } }
 
-/// Usual shortest time from the stop to the exit: entries that have not heard of the drain yet are answered
-/// with a refusal rather than a closed port.
+/// Default minimum time from the stop to the exit, in ms. Entries that have not received the `Draining` record yet get a
+/// refusal instead of a closed port.
 pub const NOTICE_MS: u64 = 2_000;
 
-/// Longest time to wait for requests in progress where no document says `drain.grace`.
+/// Default grace period for requests in progress if no document sets `drain.grace`, in ms.
 pub const GRACE_MS: u64 = 30_000;
 
-/// Time that the record `Gone` is given to spread before the exit.
+/// Time for the `Gone` record to spread before the exit, in ms.
 pub const FAREWELL_MS: u64 = 500;
 
-/// The same for a node to which nobody sends requests: the others go on passing its record on, and one that
-/// misses it only probes a closed port until the node counts as lost.
-pub const QUIET_FAREWELL_MS: u64 = 200;
+/// Time for the `Gone` record to spread before the exit of a node to which no entry sends requests, in ms.
+pub const IDLE_LEAVE_SPREAD_MS: u64 = 200;
 
-/// Where the node stands on its way out.
+/// Progress of the node's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Drain {
-    /// Nobody asked it to leave. At `offered` it last had an upstream.
+    /// The node serves. At `offered` it last had an upstream.
     Serving { offered: Ms },
-    /// Takes no new work; requests are in progress and have `grace` ms from `since` on.
+    /// The node refuses new requests; those in progress have `grace` ms from `since`.
     Waiting {
         since: Ms,
         grace: u64,
@@ -50,18 +47,18 @@
         grace: u64,
         senders: Senders,
     },
-    /// The record `Gone` spreads.
+    /// The `Gone` record spreads.
     Gone { since: Ms, senders: Senders },
     /// The driver was told to exit.
     Exited,
 }
 
-/// Whether entries may still send requests to the upstream beside this node.
+/// Whether entries may still send requests to this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Senders {
-    /// It had an upstream of late.
+    /// The node had an upstream in the last [`NOTICE_MS`].
     Some,
-    /// It had none for [`NOTICE_MS`]: every entry knows.
+    /// The node had none, and all entries have received its withdrawal.
     None,
 }
 
@@ -81,13 +78,13 @@
 }
 
 fn stop(cx: &mut Context<'_>, state: &mut State) {
-    note_offer(cx, state);
+    record_offer(cx, state);
     let Drain::Serving { offered } = state.drain else {
         return;
     };
     state.drain = Drain::Waiting {
         since: cx.now,
-        grace: grace(state),
+        grace: grace_period(state),
         senders: match cx.now.since(offered) < NOTICE_MS {
             true => Senders::Some,
             false => Senders::None,
@@ -97,8 +94,8 @@
     cx.log("drain", vec![("state", "draining".to_owned())]);
 }
 
-/// Remembers until when the node had an upstream: entries hear only later that it was withdrawn.
-fn note_offer(cx: &Context<'_>, state: &mut State) {
+/// Records the last time that the node had an upstream.
+fn record_offer(cx: &Context<'_>, state: &mut State) {
     if let Drain::Serving { offered } = &mut state.drain
         && state.members.own().offer.is_some()
     {
@@ -106,8 +103,8 @@
     }
 }
 
-/// The grace that the document of the upstream's service gives.
-fn grace(state: &State) -> u64 {
+/// Returns the grace period set by the document of the upstream's service, in ms.
+fn grace_period(state: &State) -> u64 {
     let offer = state.members.own().offer.as_ref();
     let service = offer.and_then(|it| state.log.services().get(&it.service));
     service.map_or(GRACE_MS, |it| it.document.drain.grace)
@@ -130,7 +127,7 @@
 
 fn tick(cx: &mut Context<'_>, state: &mut State) {
     match state.drain {
-        Drain::Serving { .. } => note_offer(cx, state),
+        Drain::Serving { .. } => record_offer(cx, state),
         Drain::Waiting {
             since,
             grace,
@@ -142,15 +139,17 @@
             senders,
         } if cx.now.since(since) >= grace => {
             cx.log("drain", vec![("state", "grace-over".to_owned())]);
-            gone(cx, state, senders);
+            announce_gone(cx, state, senders);
         }
         Drain::Idle { since, senders, .. } => {
-            let noticed = cx.now.since(since) >= notice(cx, state, senders);
+            let noticed = cx.now.since(since) >= notice_period(cx, state, senders);
             if noticed && state.once.unsettled() == 0 {
-                gone(cx, state, senders);
+                announce_gone(cx, state, senders);
             }
         }
-        Drain::Gone { since, senders } if cx.now.since(since) >= farewell(state, senders) => {
+        Drain::Gone { since, senders }
+            if cx.now.since(since) >= leave_spread_time(state, senders) =>
+        {
             state.drain = Drain::Exited;
             cx.act(Action::Exit);
         }
@@ -158,28 +157,28 @@
     }
 }
 
-fn notice(cx: &Context<'_>, state: &State, senders: Senders) -> u64 {
+fn notice_period(cx: &Context<'_>, state: &State, senders: Senders) -> u64 {
     match senders {
-        Senders::Some if !alone(state) => cx.settings.notice,
+        Senders::Some if !is_alone(state) => cx.settings.notice,
         _ => 0,
     }
 }
 
-fn farewell(state: &State, senders: Senders) -> u64 {
+fn leave_spread_time(state: &State, senders: Senders) -> u64 {
     match senders {
-        _ if alone(state) => 0,
+        _ if is_alone(state) => 0,
         Senders::Some => FAREWELL_MS,
-        Senders::None => QUIET_FAREWELL_MS,
+        Senders::None => IDLE_LEAVE_SPREAD_MS,
     }
 }
 
-/// Whether no other member is left to tell; members that cannot be reached just now count as there.
-fn alone(state: &State) -> bool {
+/// Returns whether there is no other member, including unreachable ones.
+fn is_alone(state: &State) -> bool {
     let own = state.members.own().id;
     state.members.alive().all(|it| it.id == own)
 }
 
-fn gone(cx: &mut Context<'_>, state: &mut State, senders: Senders) {
+fn announce_gone(cx: &mut Context<'_>, state: &mut State, senders: Senders) {
     state.drain = Drain::Gone {
         since: cx.now,
         senders,
--- a/crates/kernel/src/guard.rs
+++ b/crates/kernel/src/guard.rs
@@ -1,8 +1,8 @@
-//! Guard: requests that crash their upstream are quarantined.
+//! Quarantine of requests that crash their upstream.
 //!
-//! A node whose upstream died reports the digests of what was in flight to the other nodes of the service.
-//! After one crash they are suspects, which an owner runs one at a time; one that is in flight in a second
-//! crash is quarantined for [`HOLD_MS`], everywhere. Quarantines spread by gossip with periodic repair.
+//! A node whose upstream crashed reports the fingerprints of the requests in flight to the nodes of the service. After
+//! one crash these are suspects; one that was in flight in a second crash is quarantined on all nodes for
+//! [`QUARANTINE_MS`]. Quarantines spread by gossip and anti-entropy.
 
 mod spread;
 
@@ -23,31 +23,30 @@
 
 inventory::submit! { Plugin { name: "guard", order: 60, scope: Scope::Any, handle } }
 
-/// How long a request stays quarantined, and for how long a crash counts, in ms.
-pub const HOLD_MS: u64 = 10 * 60 * 1_000;
+/// Duration of a quarantine, and time for which a crash counts, in ms.
+pub const QUARANTINE_MS: u64 = 10 * 60 * 1_000;
 
-/// Most digests of one crash; an upstream with more in flight reports the first of them.
+/// Maximum number of fingerprints per crash; further ones are dropped.
 pub const PRINTS_MAX: usize = 64;
 
-/// Most crashes that a node remembers; the oldest go first.
+/// Maximum number of stored crashes; the oldest are dropped first.
 pub const CRASHES_MAX: usize = 128;
 
-/// Most quarantines that a node remembers; those that end soonest go first.
+/// Maximum number of stored records; those that expire first are dropped first.
 pub const RECORDS_MAX: usize = 128;
 
-/// Crashes that put a request into quarantine.
-const CRASHES: usize = 2;
+/// Number of crashes after which a request is quarantined.
+const CRASHES_TO_QUARANTINE: usize = 2;
 
-/// Digest of a request, the same at every node.
+/// Hash of a request, the same on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The digest of a request to `service`. `path` includes the query; `caller` names the caller, or is empty
-    /// where callers are not told apart; `body` is the BLAKE3 hash of the whole body.
+    /// Returns the fingerprint of a request to `service`. `path` includes the query; `caller` is the caller's name, or
+    /// empty where callers are not distinguished; `body` is the BLAKE3 hash of the whole body.
     ///
-    /// The idempotency key is no part of it: a caller whose request crashed an upstream is told that the
-    /// outcome is unknown, and may well send the same request under a new key.
+    /// The idempotency key is left out, as a caller may send the same request again under a new key.
     pub fn of(
         service: &Name,
         method: &str,
@@ -61,40 +60,40 @@
     }
 }
 
-/// One death of an upstream.
+/// A crash of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// The node beside the upstream.
     pub node: NodeId,
-    /// When, by that node's clock; with the node it names the crash.
+    /// Time of the crash by that node's clock; identifies the crash together with the node.
     pub time: Ms,
-    /// What was in flight, each once.
+    /// Fingerprints of the requests in flight, without duplicates.
     pub prints: Vec<Fingerprint>,
 }
 
-/// What holds for one request; the one with the higher (time, state) wins.
+/// Quarantine record of one request; the one with the higher (time, state) wins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The request.
+    /// Fingerprint of the request.
     pub print: Fingerprint,
-    /// The service that it crashes.
+    /// Service whose upstreams it crashes.
     pub service: Name,
-    /// When it was quarantined or lifted; it is forgotten [`HOLD_MS`] later.
+    /// Time at which it was quarantined or lifted; the record expires [`QUARANTINE_MS`] later.
     pub time: Ms,
-    /// Which of the two.
+    /// Whether it is quarantined or lifted.
     pub state: Hold,
 }
 
-/// Whether a request is refused.
+/// State of a quarantine record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Hold {
-    /// It is refused as not run.
+    /// The request is refused as not run.
     Held,
-    /// An operator lifted the quarantine: earlier crashes no longer count.
+    /// An operator lifted the quarantine; earlier crashes no longer count.
     Lifted,
 }
 
-/// What traffic threads need to know; part of the view.
+/// Fingerprints of quarantined requests and suspects; part of the view.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Quarantined {
     held: BTreeSet<Fingerprint>,
@@ -102,51 +101,51 @@
 }
 
 impl Quarantined {
-    /// Whether every request can be let through unseen.
+    /// Returns whether no request is quarantined or suspect.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty() && self.suspects.is_empty()
     }
 
-    /// Requests that are refused as not run.
+    /// Returns the number of quarantined requests.
     pub fn held(&self) -> usize {
         self.held.len()
     }
 
-    /// Whether the request is to be refused as not run.
+    /// Returns whether the request is quarantined and must be refused as not run.
     pub fn holds(&self, print: Fingerprint) -> bool {
         self.held.contains(&print)
     }
 
-    /// Whether the request was in flight in one crash: an owner runs at most one such request at a time,
-    /// so that a second crash tells the culprit from those that happened to be there.
+    /// Returns whether the request was in flight in a crash. An owner runs at most one suspect at a time, so that a
+    /// second crash identifies the cause.
     pub fn suspects(&self, print: Fingerprint) -> bool {
         self.suspects.contains(&print)
     }
 }
 
-/// Between nodes.
+/// Message between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Crashes of the service's upstreams, to the nodes of the service.
+    /// Crashes of the service's upstreams, sent to the nodes of the service.
     Crashes { service: Name, crashes: Vec<Crash> },
-    /// These requests ran without a crash after `time`.
+    /// The request ran without a crash at `time`.
     Survived { print: Fingerprint, time: Ms },
-    /// Quarantines, to anyone.
+    /// Quarantine records, sent to any node.
     Records { records: Vec<Record> },
-    /// The digest of all my quarantines: send me yours if it differs.
+    /// Digest of all records of the sender, which asks for the receiver's records if its digest differs.
     Digest { digest: u64 },
 }
 
-/// What a traffic thread or an operator asks.
+/// Call from a traffic thread or an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// The upstream died with these requests in flight; the outcome of each is unknown.
+    /// The upstream crashed with these requests in flight; their outcomes are unknown.
     Crashed { prints: Vec<Fingerprint> },
-    /// A suspect ran and the upstream lives.
+    /// A suspect ran without a crash.
     Survived { print: Fingerprint },
-    /// Which requests are quarantined or were lifted lately?
+    /// Lists the records of quarantined and lifted requests.
     List,
-    /// Ends a quarantine everywhere.
+    /// Ends a quarantine on all nodes.
     Lift {
         print: Fingerprint,
         author: String,
@@ -154,16 +153,16 @@
     },
 }
 
-/// The answer to a [`Call`].
+/// Reply to a [`Call`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// To [`Call::Crashed`] and [`Call::Survived`].
-    Noted,
-    /// To [`Call::List`].
+    /// Reply to [`Call::Crashed`] and [`Call::Survived`].
+    Recorded,
+    /// Reply to [`Call::List`].
     Listed(Vec<Record>),
-    /// To [`Call::Lift`].
+    /// Reply to [`Call::Lift`].
     Lifted,
-    /// To [`Call::Lift`]: this node knows of no such quarantine.
+    /// Reply to [`Call::Lift`]: this node has no such quarantine.
     Absent,
 }
 
@@ -172,17 +171,17 @@
 pub struct Guard {
     /// Crashes of this node's service, by time and node.
     crashes: BTreeMap<(Ms, NodeId), Vec<Fingerprint>>,
-    /// Requests that ran without a crash; crashes before that time no longer count.
+    /// Times up to which crashes no longer count, of requests that ran without a crash.
     survived: BTreeMap<Fingerprint, Ms>,
     records: BTreeMap<Fingerprint, Record>,
-    /// The service of the upstream beside this node, also after it died: a death is often noticed, and the
-    /// announcement taken back, before the crash is told.
+    /// Last service announced by the upstream beside this node. Kept after the upstream is gone, as its crash is often
+    /// reported later.
     service: Option<Name>,
-    spread: spread::Spread,
+    spread: spread::SpreadState,
 }
 
 impl Guard {
-    /// The present quarantines, for the view.
+    /// Returns the current quarantines and suspects for the view.
     pub fn quarantined(&self) -> Arc<Quarantined> {
         let held = self.records.values().filter(|it| it.state == Hold::Held);
         let inflight = self
@@ -192,28 +191,28 @@
         Arc::new(Quarantined {
             held: held.map(|it| it.print).collect(),
             suspects: inflight
-                .filter(|(time, print)| Some(*time) > self.cleared(*print))
+                .filter(|(time, print)| Some(*time) > self.cleared_until(*print))
                 .map(|(_, print)| print)
                 .collect(),
         })
     }
 
-    /// Number of crashes that are remembered.
+    /// Returns the number of stored crashes.
     pub fn crashes(&self) -> usize {
         self.crashes.len()
     }
 
-    /// Crashes up to this time do not count against `print`.
-    fn cleared(&self, print: Fingerprint) -> Option<Ms> {
+    /// Returns the time up to which crashes do not count against `print`.
+    fn cleared_until(&self, print: Fingerprint) -> Option<Ms> {
         let record = self.records.get(&print);
         let lifted = record.filter(|it| it.state == Hold::Lifted);
         let survived = self.survived.get(&print).copied();
         lifted.map(|it| it.time).max(survived)
     }
 
-    /// The crashes that count against `print`, oldest first.
-    fn counted(&self, print: Fingerprint) -> Vec<(Ms, NodeId)> {
-        let cleared = self.cleared(print);
+    /// Returns the crashes that count against `print`, oldest first.
+    fn counted_crashes(&self, print: Fingerprint) -> Vec<(Ms, NodeId)> {
+        let cleared = self.cleared_until(print);
         self.crashes
             .iter()
             .filter(|((time, _), prints)| Some(*time) > cleared && prints.contains(&print))
@@ -221,21 +220,21 @@
             .collect()
     }
 
-    /// Learns of a crash; whether it is news.
-    fn learn(&mut self, crash: &Crash) -> bool {
+    /// Stores a crash; returns whether it is new.
+    fn insert_crash(&mut self, crash: &Crash) -> bool {
         let mut prints = crash.prints.clone();
         prints.truncate(PRINTS_MAX);
         prints.sort_unstable();
         prints.dedup();
         let id = (crash.time, crash.node);
-        let news = self.crashes.insert(id, prints).is_none();
+        let is_new = self.crashes.insert(id, prints).is_none();
         while self.crashes.len() > CRASHES_MAX {
             self.crashes.pop_first();
         }
-        news
+        is_new
     }
 
-    /// Takes in a record if it is newer than the one held; whether it was.
+    /// Stores a record if it is newer than the stored one; returns whether it did.
     fn merge(&mut self, record: &Record) -> bool {
         let held = self.records.get(&record.print);
         if held.is_some_and(|it| (it.time, it.state) >= (record.time, record.state)) {
@@ -251,13 +250,13 @@
         true
     }
 
-    /// Forgets what is older than [`HOLD_MS`]; whether anything was.
+    /// Drops entries older than [`QUARANTINE_MS`]; returns whether any crash or record was dropped.
     fn expire(&mut self, now: Ms) -> bool {
-        let young = |time: Ms| now.since(time) <= HOLD_MS;
+        let is_recent = |time: Ms| now.since(time) <= QUARANTINE_MS;
         let before = (self.crashes.len(), self.records.len());
-        self.crashes.retain(|(time, _), _| young(*time));
-        self.records.retain(|_, it| young(it.time));
-        self.survived.retain(|_, time| young(*time));
+        self.crashes.retain(|(time, _), _| is_recent(*time));
+        self.records.retain(|_, it| is_recent(it.time));
+        self.survived.retain(|_, time| is_recent(*time));
         before != (self.crashes.len(), self.records.len())
     }
 }
@@ -267,11 +266,11 @@
         Event::Call {
             token,
             call: event::Call::Guard(call),
-        } => called(cx, state, *token, call),
+        } => handle_call(cx, state, *token, call),
         Event::Message {
             from,
             message: event::Message::Guard(message),
-        } => received(cx, state, *from, message),
+        } => handle_message(cx, state, *from, message),
         Event::Upstream(UpstreamEvent::Announced { service, .. }) => {
             state.guard.service = Some(service.clone());
         }
@@ -279,25 +278,25 @@
             if state.guard.expire(cx.now) {
                 cx.raise(Notice::Quarantine);
             }
-            spread::repair(cx, state);
+            spread::run_anti_entropy(cx, state);
         }
         _ => {}
     }
 }
 
-fn called(cx: &mut Context<'_>, state: &mut State, token: Token, call: &Call) {
-    let said = match call {
+fn handle_call(cx: &mut Context<'_>, state: &mut State, token: Token, call: &Call) {
+    let reply = match call {
         Call::Crashed { prints } => {
-            crashed(cx, state, prints);
-            Reply::Noted
+            report_crash(cx, state, prints);
+            Reply::Recorded
         }
         Call::Survived { print } => {
             if let Some(service) = state.guard.service.clone() {
-                survived(cx, state, *print, cx.now);
+                record_survival(cx, state, *print, cx.now);
                 let (print, time) = (*print, cx.now);
-                spread::tell_service(cx, state, &service, &Message::Survived { print, time });
+                spread::send_to_service(cx, state, &service, &Message::Survived { print, time });
             }
-            Reply::Noted
+            Reply::Recorded
         }
         Call::List => Reply::Listed(state.guard.records.values().cloned().collect()),
         Call::Lift {
@@ -306,32 +305,32 @@
             note,
         } => lift(cx, state, *print, author, note),
     };
-    cx.reply(token, event::Reply::Guard(said));
+    cx.reply(token, event::Reply::Guard(reply));
 }
 
-fn received(cx: &mut Context<'_>, state: &mut State, from: NodeId, message: &Message) {
+fn handle_message(cx: &mut Context<'_>, state: &mut State, from: NodeId, message: &Message) {
     match message {
         Message::Crashes { service, crashes } if state.guard.service.as_ref() == Some(service) => {
             for crash in crashes.iter().take(CRASHES_MAX) {
-                count(cx, state, service, crash);
+                record_crash(cx, state, service, crash);
             }
         }
         Message::Crashes { .. } => {}
-        Message::Survived { print, time } => survived(cx, state, *print, *time),
+        Message::Survived { print, time } => record_survival(cx, state, *print, *time),
         Message::Records { records } => {
-            let current = |it: &&Record| current(cx.now, it.time);
+            let current = |it: &&Record| is_current(cx.now, it.time);
             let records = records.iter().take(RECORDS_MAX).filter(current);
-            let news: Vec<Record> = records
+            let updates: Vec<Record> = records
                 .filter(|it| state.guard.merge(it))
                 .cloned()
                 .collect();
-            spread::pass_on(cx, state, news);
+            spread::gossip_records(cx, state, updates);
         }
-        Message::Digest { digest } => spread::compare(cx, state, from, *digest),
+        Message::Digest { digest } => spread::compare_digest(cx, state, from, *digest),
     }
 }
 
-fn crashed(cx: &mut Context<'_>, state: &mut State, prints: &[Fingerprint]) {
+fn report_crash(cx: &mut Context<'_>, state: &mut State, prints: &[Fingerprint]) {
     let Some(service) = state.guard.service.clone() else {
         return;
     };
@@ -345,30 +344,29 @@
         ("inflight", prints.len().to_string()),
     ];
     cx.log("upstream-crash-counted", pairs);
-    count(cx, state, &service, &crash);
+    record_crash(cx, state, &service, &crash);
     let crashes = vec![crash];
     let message = Message::Crashes {
         service: service.clone(),
         crashes,
     };
-    spread::tell_service(cx, state, &service, &message);
+    spread::send_to_service(cx, state, &service, &message);
 }
 
-/// Counts a crash and quarantines what was in flight in enough of them.
+/// Records a crash and quarantines requests that were in flight in enough crashes.
 ///
-/// A crash takes down bystanders with the culprit; quarantining on the first would let one request have
-/// every other that it met refused. The culprit is the one that comes back and crashes again.
-fn count(cx: &mut Context<'_>, state: &mut State, service: &Name, crash: &Crash) {
+/// One crash is not enough, as most of the requests in flight did not cause it.
+fn record_crash(cx: &mut Context<'_>, state: &mut State, service: &Name, crash: &Crash) {
     let guard = &mut state.guard;
-    if !current(cx.now, crash.time) || !guard.learn(crash) {
+    if !is_current(cx.now, crash.time) || !guard.insert_crash(crash) {
         return;
     }
     cx.raise(Notice::Quarantine);
-    let mut news = Vec::new();
+    let mut updates = Vec::new();
     for print in crash.prints.iter().take(PRINTS_MAX) {
-        let counted = guard.counted(*print);
+        let counted = guard.counted_crashes(*print);
         let newest = counted.last().map(|it| it.0);
-        let (Some(time), true) = (newest, counted.len() >= CRASHES) else {
+        let (Some(time), true) = (newest, counted.len() >= CRASHES_TO_QUARANTINE) else {
             continue;
         };
         let record = Record {
@@ -383,15 +381,15 @@
                 ("print", format!("{:016x}", print.0)),
             ];
             cx.log("request-quarantined", pairs);
-            news.push(record);
+            updates.push(record);
         }
     }
-    spread::pass_on(cx, state, news);
+    spread::gossip_records(cx, state, updates);
 }
 
-fn survived(cx: &mut Context<'_>, state: &mut State, print: Fingerprint, time: Ms) {
+fn record_survival(cx: &mut Context<'_>, state: &mut State, print: Fingerprint, time: Ms) {
     let guard = &mut state.guard;
-    if guard.counted(print).is_empty() {
+    if guard.counted_crashes(print).is_empty() {
         return;
     }
     let known = guard.survived.entry(print).or_insert(time);
@@ -423,11 +421,11 @@
     ];
     cx.log("quarantine-lifted", pairs);
     state.guard.merge(&record);
-    spread::pass_on(cx, state, vec![record]);
+    spread::gossip_records(cx, state, vec![record]);
     Reply::Lifted
 }
 
-/// Whether `time` is neither too old nor, from a clock that is wrong, too far ahead to be forgotten in time.
-fn current(now: Ms, time: Ms) -> bool {
-    now.since(time) <= HOLD_MS && time.since(now) <= HOLD_MS
+/// Returns whether `time` is neither expired nor, from a wrong clock, too far in the future.
+fn is_current(now: Ms, time: Ms) -> bool {
+    now.since(time) <= QUARANTINE_MS && time.since(now) <= QUARANTINE_MS
 }
--- a/crates/kernel/src/guard/spread.rs
+++ b/crates/kernel/src/guard/spread.rs
@@ -1,4 +1,4 @@
-//! How crashes and quarantines reach other nodes: gossip on news, and periodic repair for what was lost.
+//! Spread of crashes and quarantine records: gossip of updates, and periodic anti-entropy for lost messages.
 
 use rand::seq::IndexedRandom;
 
@@ -12,53 +12,58 @@
     utils::hash64,
 };
 
-/// Nodes that a quarantine is passed on to by each node that learns of it.
-const FANOUT: usize = 4;
+/// Number of nodes to which a node forwards a new record.
+const GOSSIP_FANOUT: usize = 4;
 
-/// Nodes of a service that hear of a crash at once; repair tells the others.
-const REPORT_MAX: usize = 16;
+/// Number of nodes of a service that receive a crash report directly; the others receive it by anti-entropy.
+const REPORT_FANOUT: usize = 16;
 
-/// Time between two repairs, in ms.
-const REPAIR_MS: u64 = 5_000;
+/// Interval of anti-entropy, in ms.
+const ANTI_ENTROPY_MS: u64 = 5_000;
 
-/// Crashes that one repair carries, the newest first: at most a few hundred bytes a second.
-const REPAIR_CRASHES: usize = 8;
+/// Maximum number of crashes per anti-entropy message, newest first.
+const ANTI_ENTROPY_CRASHES: usize = 8;
 
-/// When the last repair was.
+/// Time of the last anti-entropy round.
 #[derive(Debug, Default)]
-pub(super) struct Spread {
-    repaired: Ms,
+pub(super) struct SpreadState {
+    last_round: Ms,
 }
 
-/// Sends `message` to nodes of `service`.
-pub(super) fn tell_service(cx: &mut Context<'_>, state: &State, service: &Name, message: &Message) {
+/// Sends `message` to random nodes of `service`.
+pub(super) fn send_to_service(
+    cx: &mut Context<'_>,
+    state: &State,
+    service: &Name,
+    message: &Message,
+) {
     let peers = peers(cx, state, |it| serves(it, service));
-    for to in some(cx, &peers, REPORT_MAX) {
+    for to in sample_peers(cx, &peers, REPORT_FANOUT) {
         cx.send(to, event::Message::Guard(message.clone()));
     }
 }
 
-/// Passes news on to a few nodes. Each passes on a record once, so a quarantine costs a node a few messages.
-pub(super) fn pass_on(cx: &mut Context<'_>, state: &State, records: Vec<Record>) {
+/// Forwards new records to a few random nodes. Each node forwards a record once.
+pub(super) fn gossip_records(cx: &mut Context<'_>, state: &State, records: Vec<Record>) {
     if records.is_empty() {
         return;
     }
     cx.raise(Notice::Quarantine);
     let peers = peers(cx, state, |_| true);
-    for to in some(cx, &peers, FANOUT) {
+    for to in sample_peers(cx, &peers, GOSSIP_FANOUT) {
         let records = records.clone();
         cx.send(to, event::Message::Guard(Message::Records { records }));
     }
 }
 
-/// Compares with one random node, so that a lost message delays but never loses.
+/// Sends the digest of all records to one random node and the newest crashes to one node of the own service.
 ///
-/// Digests are also sent when there is nothing to tell: that is how a new node learns of quarantines.
-pub(super) fn repair(cx: &mut Context<'_>, state: &mut State) {
-    if cx.now.since(state.guard.spread.repaired) < REPAIR_MS {
+/// The digest is sent even without records, so that a new node receives the existing quarantines.
+pub(super) fn run_anti_entropy(cx: &mut Context<'_>, state: &mut State) {
+    if cx.now.since(state.guard.spread.last_round) < ANTI_ENTROPY_MS {
         return;
     }
-    state.guard.spread.repaired = cx.now;
+    state.guard.spread.last_round = cx.now;
     let peers = peers(cx, state, |_| true);
     if let Some(to) = peers.choose(cx.rng).copied() {
         let digest = digest(state);
@@ -67,7 +72,7 @@
     let Some(service) = state.guard.service.clone() else {
         return;
     };
-    let newest = state.guard.crashes.iter().rev().take(REPAIR_CRASHES);
+    let newest = state.guard.crashes.iter().rev().take(ANTI_ENTROPY_CRASHES);
     let crashes: Vec<Crash> = newest
         .map(|((time, node), prints)| Crash {
             node: *node,
@@ -78,32 +83,32 @@
     if crashes.is_empty() {
         return;
     }
-    let near = self::peers(cx, state, |it| serves(it, &service));
-    if let Some(to) = near.choose(cx.rng).copied() {
+    let service_peers = self::peers(cx, state, |it| serves(it, &service));
+    if let Some(to) = service_peers.choose(cx.rng).copied() {
         let message = Message::Crashes { service, crashes };
         cx.send(to, event::Message::Guard(message));
     }
 }
 
-/// Answers a digest that differs with all records; the sender answers in kind if it still differs.
-pub(super) fn compare(cx: &mut Context<'_>, state: &State, from: NodeId, other: u64) {
+/// Answers a different digest with all records, or with the own digest if there are none.
+pub(super) fn compare_digest(cx: &mut Context<'_>, state: &State, from: NodeId, other: u64) {
     if other == digest(state) {
         return;
     }
     let records: Vec<Record> = state.guard.records.values().cloned().collect();
     if records.is_empty() {
-        // The other side has some: ask for them.
+        // The peer has records: the own digest requests them.
         let digest = digest(state);
         return cx.send(from, event::Message::Guard(Message::Digest { digest }));
     }
     cx.send(from, event::Message::Guard(Message::Records { records }));
 }
 
-/// Up to `count` random ones of `peers`, in order.
-fn some(cx: &mut Context<'_>, peers: &[NodeId], count: usize) -> Vec<NodeId> {
-    let mut some: Vec<NodeId> = peers.choose_multiple(cx.rng, count).copied().collect();
-    some.sort_unstable();
-    some
+/// Returns up to `count` random peers, sorted.
+fn sample_peers(cx: &mut Context<'_>, peers: &[NodeId], count: usize) -> Vec<NodeId> {
+    let mut sample: Vec<NodeId> = peers.choose_multiple(cx.rng, count).copied().collect();
+    sample.sort_unstable();
+    sample
 }
 
 fn digest(state: &State) -> u64 {
@@ -120,11 +125,11 @@
 fn peers(
     cx: &Context<'_>,
     state: &State,
-    wanted: impl Fn(&members::Record) -> bool,
+    predicate: impl Fn(&members::Record) -> bool,
 ) -> Vec<NodeId> {
     let ready = state.members.alive();
     ready
-        .filter(|it| it.id != cx.settings.node && wanted(it))
+        .filter(|it| it.id != cx.settings.node && predicate(it))
         .map(|it| it.id)
         .collect()
 }
--- a/crates/kernel/src/health.rs
+++ b/crates/kernel/src/health.rs
@@ -1,85 +1,85 @@
-//! Health of the upstream beside this node: what it reports against what the node sees for itself.
+//! Health of the upstream beside this node, from its own reports and from the results of requests.
 //!
-//! Reports can lag or mislead. So a report alone makes an upstream ready only while the node's own requests
-//! agree, and a late report alone never takes down an upstream that answers requests.
+//! Reports can be late or wrong: lost requests override a ready report for a while, and late reports do not take down
+//! an upstream that answers requests.
 
 use crate::{clock::Ms, event::UpstreamEvent, members::Phase};
 
-/// A sign of life, or the lack of one.
+/// An observation of the upstream's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
     /// The upstream reported its phase.
     Report(Phase),
-    /// It answered the question for its health with something else than a phase.
+    /// The upstream answered a health check with something other than a phase.
     Unclear,
-    /// It did not answer the question for its health in time.
+    /// The upstream did not answer a health check in time.
     Late,
-    /// Nothing listens on its address.
+    /// The connection was refused: nothing listens on its address.
     Refused,
-    /// It answered a request.
+    /// The upstream answered a request.
     Served,
-    /// A connection broke while a request was in progress.
+    /// The connection broke while a request was in progress.
     Lost,
 }
 
-/// What the node holds the upstream for.
+/// Health state of the upstream, as judged by the node.
 #[derive(Clone, Debug)]
 pub struct Health {
     phase: Phase,
     reported: Phase,
-    /// Last time that the upstream showed life.
-    alive: Ms,
-    /// Late reports in a row.
-    late: u32,
-    /// Requests lost in a row.
-    lost: u32,
-    /// Not ready before this time, whatever is reported.
-    held: Ms,
-    /// Length of the next hold, in ms.
-    hold: u64,
+    /// Time of the last report or answered request.
+    last_alive: Ms,
+    /// Number of consecutive late reports.
+    late_reports: u32,
+    /// Number of consecutive lost requests.
+    lost_requests: u32,
+    /// Time before which a ready report is ignored.
+    held_until: Ms,
+    /// Duration of the next hold, in ms.
+    next_hold: u64,
 }
 
-/// Late reports in a row after which an upstream that serves nothing counts as not ready.
+/// Number of consecutive late reports after which an upstream that answers no requests counts as not ready.
 pub const LATE_MAX: u32 = 3;
-/// Lost requests in a row after which reports are not believed for a while.
+/// Number of consecutive lost requests after which ready reports are ignored for a while.
 pub const LOST_MAX: u32 = 3;
-/// An upstream without any sign of life for so long counts as gone, in ms.
+/// Time without a report or an answer after which an upstream counts as gone, in ms.
 pub const GONE_MS: u64 = 30_000;
-/// An upstream that served a request so lately is alive, however late its reports, in ms.
+/// Time after an answered request during which late reports are ignored, in ms.
 const SERVED_MS: u64 = 5_000;
-/// First and longest time for which reports are not believed, in ms.
-const HOLD: (u64, u64) = (1_000, 30_000);
+/// First and longest time for which ready reports are ignored, in ms.
+const HOLD_MS: (u64, u64) = (1_000, 30_000);
 
 impl Health {
-    /// An upstream that announced itself in `phase`.
+    /// Creates the state of an upstream that announced itself in `phase`.
     pub fn new(now: Ms, phase: Phase) -> Health {
         Health {
             phase,
             reported: phase,
-            alive: now,
-            late: 0,
-            lost: 0,
-            held: now,
-            hold: HOLD.0,
+            last_alive: now,
+            late_reports: 0,
+            lost_requests: 0,
+            held_until: now,
+            next_hold: HOLD_MS.0,
         }
     }
 
-    /// What the node holds it for.
+    /// Returns the phase that the node attributes to the upstream.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Takes one sign; returns the event that the other parts must hear of, if the phase changed.
+    /// Applies one observation; returns the event for the other plug-ins if the phase changed.
     pub fn observe(&mut self, now: Ms, sign: Sign) -> Option<UpstreamEvent> {
         match sign {
             Sign::Report(phase) => self.report(now, phase),
             Sign::Unclear => self.report(now, self.reported),
             Sign::Served => self.served(now),
-            Sign::Late => self.late += 1,
-            Sign::Lost => self.lose(now),
+            Sign::Late => self.late_reports += 1,
+            Sign::Lost => self.record_loss(now),
             Sign::Refused => self.suspend(now),
         }
-        let phase = self.judge(now);
+        let phase = self.evaluate(now);
         if phase == self.phase {
             return None;
         }
@@ -93,43 +93,42 @@
     }
 
     fn report(&mut self, now: Ms, phase: Phase) {
-        self.alive = now;
-        self.late = 0;
+        self.last_alive = now;
+        self.late_reports = 0;
         self.reported = phase;
     }
 
     fn served(&mut self, now: Ms) {
-        self.alive = now;
-        self.lost = 0;
-        self.hold = HOLD.0;
+        self.last_alive = now;
+        self.lost_requests = 0;
+        self.next_hold = HOLD_MS.0;
     }
 
-    /// An upstream that reports to be ready and loses every request would draw work for ever: after a few
-    /// losses its reports are not believed for a while, longer each time.
-    fn lose(&mut self, now: Ms) {
-        self.lost += 1;
-        if self.lost >= LOST_MAX {
-            self.lost = 0;
+    /// Counts a lost request; after [`LOST_MAX`] in a row, ready reports are ignored for a while, longer each time.
+    fn record_loss(&mut self, now: Ms) {
+        self.lost_requests += 1;
+        if self.lost_requests >= LOST_MAX {
+            self.lost_requests = 0;
             self.suspend(now);
         }
     }
 
     fn suspend(&mut self, now: Ms) {
-        if now < self.held {
+        if now < self.held_until {
             return;
         }
-        self.held = now + self.hold;
-        self.hold = (2 * self.hold).min(HOLD.1);
+        self.held_until = now + self.next_hold;
+        self.next_hold = (2 * self.next_hold).min(HOLD_MS.1);
     }
 
-    fn judge(&self, now: Ms) -> Phase {
-        let quiet = now.since(self.alive);
-        if quiet >= GONE_MS {
+    fn evaluate(&self, now: Ms) -> Phase {
+        let silence = now.since(self.last_alive);
+        if silence >= GONE_MS {
             return Phase::Gone;
         }
-        let silent = self.late >= LATE_MAX && quiet >= SERVED_MS;
+        let silent = self.late_reports >= LATE_MAX && silence >= SERVED_MS;
         match self.reported {
-            Phase::Ready if now < self.held || silent => Phase::Warming,
+            Phase::Ready if now < self.held_until || silent => Phase::Warming,
             it => it,
         }
     }
--- a/crates/kernel/src/instance.rs
+++ b/crates/kernel/src/instance.rs
@@ -1,47 +1,45 @@
-//! Which process is the upstream beside this node, told from heartbeats that may arrive late or out of order.
+//! Tracks which instance is the upstream beside this node, from heartbeats that may arrive late or out of order.
 //!
-//! Each start of an upstream has its own instance id, or the id of an earlier start and a later time of birth. A heartbeat
-//! that the network held up may arrive after its sender died and a successor announced itself at the same address: taken
-//! at its word, requests would name the dead instance and be turned away by the living one. And a successor under the
-//! same id counts its heartbeats anew: measured by the count of the one before, all it says would pass for late.
+//! Each start of an upstream has its own instance id, or the same id and a later start time. Without the check, a delayed
+//! heartbeat of a replaced instance would make requests name the wrong instance, and the sequence numbers of a new start
+//! under the same id would look outdated.
 
 use std::{collections::VecDeque, sync::Arc};
 
 use crate::clock::Ms;
 
-/// Instances that left or were replaced and are remembered, newest last.
+/// Maximum number of stored instances that left or were replaced.
 const RETIRED_MAX: usize = 16;
 
-/// Silence of the present instance after which a retired one is believed again, in ms.
-///
-/// An upstream sends a heartbeat every 1.5 s. A single late heartbeat of a dead instance wins this way only for
-/// as long as the living one takes to send its next two.
+/// Time without a heartbeat of the present instance after which a retired one may replace it, in ms. It is longer than
+/// the heartbeat interval of 1.5 s, so that a live instance recovers after a late heartbeat of a dead one.
 pub const SILENCE_MS: u64 = 1_900;
 
-/// What a heartbeat or a deregistration means.
+/// Decision on a heartbeat or a deregistration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It comes from the present instance: take it.
+    /// Sent by the present instance; it applies.
     Present,
-    /// It comes from an instance that was not known: take it, and give up the one before.
+    /// Sent by a new instance, which replaces the present one; it applies.
     Successor,
-    /// It is late, repeated, or comes from an instance that was replaced: acknowledge and forget it.
+    /// Late, repeated, or sent by a replaced instance; it must be acknowledged and ignored.
     Stale,
 }
 
-/// The instances that announced themselves to this node.
+/// The present instance and those that left or were replaced.
 #[derive(Debug, Default)]
 pub struct Instances {
     present: Option<Present>,
+    /// Newest last.
     retired: VecDeque<Start>,
 }
 
 /// One start of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Start {
-    /// Its instance id.
+    /// Instance id.
     pub id: Arc<str>,
-    /// Unix ms of its birth; zero if it does not tell.
+    /// Start time in Unix ms; zero if unknown.
     pub born: u64,
 }
 
@@ -49,15 +47,15 @@
 struct Present {
     start: Start,
     sequence: u64,
-    heard: Ms,
+    last_heartbeat: Ms,
 }
 
 impl Instances {
-    /// Judges a heartbeat of `start`; `sequence` grows with each call of one start.
+    /// Decides on a heartbeat of `start`; `sequence` increases with each call of one start.
     pub fn heartbeat(&mut self, now: Ms, start: &Start, sequence: u64) -> Verdict {
-        let retired = self.retired(start);
+        let is_retired = self.is_retired(start);
         let Some(it) = &mut self.present else {
-            if retired {
+            if is_retired {
                 return Verdict::Stale;
             }
             self.replace(now, start, sequence);
@@ -67,18 +65,18 @@
             if sequence <= it.sequence {
                 return Verdict::Stale;
             }
-            (it.sequence, it.heard) = (sequence, now);
+            (it.sequence, it.last_heartbeat) = (sequence, now);
             return Verdict::Present;
         }
         let earlier = it.start.id == start.id && start.born < it.start.born;
-        if earlier || retired && now.since(it.heard) < SILENCE_MS {
+        if earlier || is_retired && now.since(it.last_heartbeat) < SILENCE_MS {
             return Verdict::Stale;
         }
         self.replace(now, start, sequence);
         Verdict::Successor
     }
 
-    /// Judges the deregistration of `start`; one that does not tell its birth stands for the present one of its id.
+    /// Decides on the deregistration of `start`; without a start time it applies to the present instance of its id.
     pub fn leave(&mut self, start: &Start) -> Verdict {
         let leaves = |it: &Start| it.id == start.id && (start.born == 0 || it.born <= start.born);
         match self.present.take_if(|it| leaves(&it.start)) {
@@ -93,21 +91,21 @@
         }
     }
 
-    /// Whether this start, or a later one of its id, left or was replaced.
-    fn retired(&self, start: &Start) -> bool {
+    /// Returns whether this start, or a later one of its id, left or was replaced.
+    fn is_retired(&self, start: &Start) -> bool {
         let mut retired = self.retired.iter();
         retired.any(|it| it.id == start.id && start.born <= it.born)
     }
 
     fn replace(&mut self, now: Ms, start: &Start, sequence: u64) {
         self.retired.retain(|it| it != start);
-        let before = self.present.replace(Present {
+        let previous = self.present.replace(Present {
             start: start.clone(),
             sequence,
-            heard: now,
+            last_heartbeat: now,
         });
-        if let Some(before) = before {
-            self.retire(before.start);
+        if let Some(previous) = previous {
+            self.retire(previous.start);
         }
     }
 
--- a/crates/kernel/src/pick.rs
+++ b/crates/kernel/src/pick.rs
@@ -1,8 +1,7 @@
-//! Pick: which endpoint an entry node sends a request to.
+//! Load balancing at the entry: chooses the endpoint of a request.
 //!
-//! Two random choices in each distance (own zone, own region, beyond), compared by expected time: the
-//! endpoint's measured latency, its load relative to its slots, and a penalty for distance. What this node has
-//! itself seen of an endpoint goes before what the endpoint or the members say of it.
+//! Draws up to two random endpoints in each tier (own zone, own region, other regions, unreachable) and compares them
+//! by expected time: measured latency, load relative to the slots, and a penalty for distance.
 
 mod experience;
 pub mod placement;
@@ -23,66 +22,63 @@
 
 pub use experience::Lane;
 
-use experience::{Experience, may_eject};
+use experience::{EndpointStats, may_eject};
 
-/// Penalties on the expected time for an endpoint in the own zone, in the own region, beyond, and for one
-/// that the members cannot reach.
+/// Factors on the expected time by tier: own zone, own region, other regions, unreachable.
 const PENALTY: [f64; TIERS] = [1.0, 1.2, 3.0, 1_000.0];
 const TIERS: usize = 4;
-/// Factor below which one cost is clearly better than another; otherwise the draw decides.
-///
-/// Without it, the endpoint that was ever so slightly the slowest would never be chosen while loads are
-/// low, so it would never be measured again and its recovery would go unseen.
-const CLEARLY: f64 = 0.9;
-/// Share of a new sample in the mean latency of a class.
+/// Ratio of costs below which the cheaper endpoint replaces the one drawn first. Without this margin, the slowest
+/// endpoint would get no requests at low load and its recovery would not be measured.
+const PREFERENCE_RATIO: f64 = 0.9;
+/// Weight of a new sample in the mean latency of a class.
 const MEAN_GAIN: f64 = 0.02;
-/// Draws in a tier before all of it is looked through.
+/// Maximum number of random draws in a tier before it is scanned.
 const DRAWS: usize = 6;
 
-/// Where an entry stands.
+/// Location of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Region.
+    /// Region of the entry.
     pub region: Name,
-    /// Availability zone.
+    /// Availability zone of the entry.
     pub zone: Name,
 }
 
-/// How an attempt at an endpoint ended, as its entry saw it.
+/// Result of an attempt at an endpoint, as observed by its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered whole after `latency` ms.
+    /// The whole answer arrived.
     Answered {
-        /// From sending to the whole answer, in ms.
+        /// Time from sending the request to the whole answer, in ms.
         latency: u64,
     },
-    /// Refused as not run.
+    /// The request was refused and not run.
     Refused(Refusal),
-    /// No connection, a lost or cut answer, or a timeout.
+    /// Connection failure, lost or truncated answer, or timeout.
     Failed,
-    /// The caller gave up; says nothing of the endpoint.
+    /// The caller gave up; not counted for or against the endpoint.
     Cancelled,
 }
 
-/// The answer to [`Picker::pick`].
+/// Result of [`Picker::pick`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// Send it there.
+    /// Send the request to this endpoint.
     Send(Endpoint),
-    /// Send it there, to run soon or not at all: others may have room that this entry has not heard of.
+    /// Send the request to this endpoint with a short queue limit, as the load of the others is not known well.
     Probe(Endpoint),
-    /// No endpoint is worth trying now.
+    /// No endpoint accepts the request now.
     Refuse(Refusal),
 }
 
-/// Endpoints of one service and what this entry has seen of them.
+/// Endpoints of one service, with the statistics that this entry has of them.
 #[derive(Debug)]
 pub struct Picker {
     place: Place,
     ramp: u64,
     members: Vec<Member>,
-    slots: HashMap<NodeId, usize>,
-    /// First member of each tier, and the end of the last.
+    positions: HashMap<NodeId, usize>,
+    /// Index of the first member of each tier, then the number of members.
     bounds: [usize; TIERS + 1],
     /// Mean latency of each class over all endpoints, in ms.
     latency: [Option<f64>; CLASSES],
@@ -92,89 +88,93 @@
 struct Member {
     endpoint: Endpoint,
     tier: usize,
-    experience: Experience,
+    stats: EndpointStats,
 }
 
 impl Picker {
-    /// A picker for an entry at `place`, without endpoints.
+    /// Creates a picker without endpoints for an entry at `place`.
     pub fn new(place: Place) -> Picker {
         Picker {
             place,
             ramp: 0,
             members: Vec::new(),
-            slots: HashMap::new(),
+            positions: HashMap::new(),
             bounds: [0; TIERS + 1],
             latency: [None; CLASSES],
         }
     }
 
-    /// Follows the view: the service's endpoints and its `ramp` in ms.
+    /// Updates the service's endpoints and its warm-up time `ramp`, in ms, from the view.
     ///
-    /// What is known of an endpoint stays as long as its incarnation does; what left is forgotten. The
-    /// endpoints of the first call count as warm, for it is this node that is new to them.
+    /// Statistics are kept per incarnation of an endpoint. Endpoints that are new start cold, except those of the first
+    /// call, which ran before this entry knew them.
     pub fn refresh(&mut self, now: Ms, endpoints: &[Endpoint], ramp: u64) {
         self.ramp = ramp;
-        let mut known: HashMap<NodeId, Member> = std::mem::take(&mut self.members)
+        let mut previous: HashMap<NodeId, Member> = std::mem::take(&mut self.members)
             .into_iter()
             .map(|it| (it.endpoint.node, it))
             .collect();
-        let first = known.is_empty();
+        let is_first = previous.is_empty();
         self.members = endpoints
             .iter()
             .filter(|it| it.phase == Phase::Ready)
             .map(|it| {
-                let experience = match known.remove(&it.node) {
-                    Some(member) if member.endpoint.incarnation == it.incarnation => {
-                        member.experience
-                    }
-                    _ if first => Experience::warm(),
-                    _ => Experience::cold(now),
+                let stats = match previous.remove(&it.node) {
+                    Some(member) if member.endpoint.incarnation == it.incarnation => member.stats,
+                    _ if is_first => EndpointStats::warm(),
+                    _ => EndpointStats::cold(now),
                 };
                 Member {
                     endpoint: it.clone(),
                     tier: self.tier(it),
-                    experience,
+                    stats,
                 }
             })
             .collect();
         self.members.sort_by_key(|it| it.tier);
-        self.slots = (0..)
+        self.positions = (0..)
             .zip(&self.members)
-            .map(|(at, it)| (it.endpoint.node, at))
+            .map(|(idx, it)| (it.endpoint.node, idx))
             .collect();
         for tier in 0..TIERS {
             self.bounds[tier + 1] = self.members.partition_point(|it| it.tier <= tier);
         }
     }
 
-    /// Chooses an endpoint for a request of `class` that already failed at `tried`.
+    /// Chooses an endpoint for a request of `class` that was already sent to `tried`.
     pub fn pick(&self, now: Ms, rng: &mut impl Rng, class: Class, tried: &[NodeId]) -> Choice {
-        let usable = |it: &Member| {
-            !tried.contains(&it.endpoint.node) && it.experience.takes(now, class.into())
-        };
+        let usable =
+            |it: &Member| !tried.contains(&it.endpoint.node) && it.stats.accepts(now, class.into());
         let candidates = (0..TIERS).flat_map(|tier| self.draw(rng, tier, &usable));
         let costs = candidates.map(|it| (self.cost(now, it), it));
-        let best = costs.reduce(|best, it| if it.0 < best.0 * CLEARLY { it } else { best });
+        let best = costs.reduce(|best, it| {
+            if it.0 < best.0 * PREFERENCE_RATIO {
+                it
+            } else {
+                best
+            }
+        });
         if let Some((_, member)) = best {
             return Choice::Send(member.endpoint.clone());
         }
-        let left = self
+        let untried = self
             .members
             .iter()
             .filter(|it| !tried.contains(&it.endpoint.node))
-            .map(|it| (&it.endpoint, &it.experience));
-        last_resort(now, class.into(), BUSY, left)
-            .unwrap_or_else(|| Choice::Refuse(Refusal::after(Reason::NoEndpoint, NO_ENDPOINT)))
+            .map(|it| (&it.endpoint, &it.stats));
+        last_resort(now, class.into(), BUSY_RETRY_MS, untried).unwrap_or_else(|| {
+            Choice::Refuse(Refusal::after(Reason::NoEndpoint, NO_ENDPOINT_RETRY_MS))
+        })
     }
 
-    /// Counts an attempt sent to `node`.
+    /// Records an attempt sent to `node`.
     pub fn started(&mut self, now: Ms, node: NodeId) {
         if let Some(it) = self.member(node) {
-            it.experience.started(now);
+            it.stats.started(now);
         }
     }
 
-    /// Counts the end of an attempt at `node`, with the load that its answer told.
+    /// Records the end of an attempt at `node`, with the load reported in its answer.
     pub fn finished(
         &mut self,
         now: Ms,
@@ -183,33 +183,33 @@
         outcome: Outcome,
         load: Option<Load>,
     ) {
-        let pace = self.pace(class, outcome);
-        let experiences = self.members.iter().map(|it| &it.experience);
-        let may_eject = outcome == Outcome::Failed && may_eject(now, experiences);
+        let latency = self.relative_latency(class, outcome);
+        let all_stats = self.members.iter().map(|it| &it.stats);
+        let may_eject = outcome == Outcome::Failed && may_eject(now, all_stats);
         let Some(it) = self.member(node) else {
             return;
         };
-        it.experience.finished(now, class.into(), outcome, load);
-        if let Some(pace) = pace {
-            it.experience.measure(now, pace);
+        it.stats.finished(now, class.into(), outcome, load);
+        if let Some(latency) = latency {
+            it.stats.record_latency(now, latency);
         }
         if may_eject {
-            it.experience.eject(now);
+            it.stats.eject(now);
         }
     }
 
-    /// Endpoints that may be chosen at all.
+    /// Returns the number of ready endpoints.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no endpoint may be chosen.
+    /// Returns whether there is no ready endpoint.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Latency of an answer relative to the mean of its class, so that classes of different length compare.
-    fn pace(&mut self, class: Class, outcome: Outcome) -> Option<f64> {
+    /// Returns the latency of an answer relative to the mean of its class, which makes classes comparable.
+    fn relative_latency(&mut self, class: Class, outcome: Outcome) -> Option<f64> {
         let Outcome::Answered { latency } = outcome else {
             return None;
         };
@@ -230,11 +230,11 @@
     }
 
     fn member(&mut self, node: NodeId) -> Option<&mut Member> {
-        let at = *self.slots.get(&node)?;
-        self.members.get_mut(at)
+        let idx = *self.positions.get(&node)?;
+        self.members.get_mut(idx)
     }
 
-    /// Up to two random usable members of a tier, without looking at all of it if draws suffice.
+    /// Returns up to two random usable members of a tier. Scans the whole tier only if no draw is usable.
     fn draw(
         &self,
         rng: &mut impl Rng,
@@ -256,40 +256,40 @@
         members.iter().filter(|it| usable(it)).take(1).collect()
     }
 
-    /// Expected time of a request at `member` relative to the mean, with penalties.
+    /// Returns the expected time of a request at `member` relative to the mean, with its tier's penalty.
     fn cost(&self, now: Ms, member: &Member) -> f64 {
-        let pace = member.experience.pace(now);
-        let room =
-            f64::from(member.endpoint.slots.max(1)) * member.experience.warmth(now, self.ramp);
-        let load = member.experience.load(now) / room;
-        pace * (1.0 + load) * PENALTY[member.tier]
+        let latency = member.stats.relative_latency(now);
+        let capacity =
+            f64::from(member.endpoint.slots.max(1)) * member.stats.ramp_share(now, self.ramp);
+        let load = member.stats.load(now) / capacity;
+        latency * (1.0 + load) * PENALTY[member.tier]
     }
 }
 
-/// What is left to do when none of `left`, the endpoints not tried yet, takes work now; nothing if there are none.
+/// Returns the choice when none of the endpoints `untried` accepts a request now; none if there are no such endpoints.
 ///
-/// If all that are left refused, sending more only adds to their load: the caller learns at once when
-/// the first will take work again, after `least` ms or more. An ejected one is tried rather than nobody.
+/// Refuses until the first hold of a non-ejected endpoint ends, after at least `min_after` ms. If all are ejected,
+/// chooses the one with the fewest failures.
 fn last_resort<'a>(
     now: Ms,
     lane: Lane,
-    least: u64,
-    left: impl Iterator<Item = (&'a Endpoint, &'a Experience)>,
+    min_after: u64,
+    untried: impl Iterator<Item = (&'a Endpoint, &'a EndpointStats)>,
 ) -> Option<Choice> {
-    let left: Vec<(&Endpoint, &Experience)> = left.collect();
-    let held = left
+    let untried: Vec<(&Endpoint, &EndpointStats)> = untried.collect();
+    let hold_left = untried
         .iter()
-        .filter(|(_, it)| !it.ejected(now))
-        .map(|(_, it)| it.held(now, lane).max(least))
+        .filter(|(_, it)| !it.is_ejected(now))
+        .map(|(_, it)| it.hold_left(now, lane).max(min_after))
         .min();
-    if let Some(after) = held {
+    if let Some(after) = hold_left {
         return Some(Choice::Refuse(Refusal::after(Reason::Overloaded, after)));
     }
-    let (endpoint, _) = left.into_iter().min_by_key(|(_, it)| it.failures())?;
+    let (endpoint, _) = untried.into_iter().min_by_key(|(_, it)| it.failures())?;
     Some(Choice::Send(endpoint.clone()))
 }
 
-/// Least hint while endpoints are left: one that is being probed shows by then what it is worth, in ms.
-const BUSY: u64 = 10;
-/// When to come back if a service has no endpoint left, in ms.
-const NO_ENDPOINT: u64 = 200;
+/// Minimum time to wait before a retry while there are untried endpoints, in ms; a probe in flight may end by then.
+const BUSY_RETRY_MS: u64 = 10;
+/// Time to wait before a retry if the service has no endpoint left, in ms.
+const NO_ENDPOINT_RETRY_MS: u64 = 200;
--- a/crates/kernel/src/pick/experience.rs
+++ b/crates/kernel/src/pick/experience.rs
@@ -1,4 +1,4 @@
-//! What an entry has itself seen of one endpoint.
+//! Statistics that an entry keeps of one endpoint: failures, ejection, refusals, latency and load.
 
 use crate::{
     admission::{Load, kinds::Kind},
@@ -8,61 +8,59 @@
     refusal::Reason,
 };
 
-/// Failures in a row after which an endpoint is ejected.
-const FAILURES: u32 = 3;
-/// Shortest and longest ejection, in ms.
-const EJECTION: (u64, u64) = (1_000, 30_000);
-/// Time after which a load that was told counts for nothing, in ms.
-const LOAD_AGE: f64 = 1_000.0;
-/// Time in which a pace that is not measured again loses half, in ms, so that a slow endpoint is tried again.
-const PACE_AGE: f64 = 3_000.0;
-/// Share of a new sample in the pace.
-const PACE_GAIN: f64 = 0.1;
-/// Time after which a request whose end was not told is given up on, in ms.
-const LOST: u64 = 30_000;
-/// Smallest share of work of an endpoint that has just started.
-const COLD: f64 = 0.1;
-/// Longest time for which a refusal keeps work away, in ms; its sender may be wrong.
-const HOLD_MAX: u64 = 1_000;
-/// How long an endpoint that is not ready or leaves is left alone, in ms; by then the members tell it.
-const HOLD_PHASE: u64 = 500;
-
-/// Largest share of the endpoints that may be ejected at once, in percent.
-const EJECTED_SHARE: usize = 50;
-
-/// Whether one more ejection leaves enough endpoints.
+/// Number of consecutive failures after which an endpoint is ejected.
+const EJECT_FAILURES: u32 = 3;
+/// First and longest ejection, in ms.
+const EJECTION_MS: (u64, u64) = (1_000, 30_000);
+/// Age from which a reported load is ignored, in ms.
+const LOAD_MAX_AGE_MS: f64 = 1_000.0;
+/// Half-life of the relative latency while it is not measured, in ms, so that a slow endpoint is tried again.
+const LATENCY_HALF_LIFE_MS: f64 = 3_000.0;
+/// Weight of a new sample in the relative latency.
+const LATENCY_GAIN: f64 = 0.1;
+/// Time after which a request without a recorded end no longer counts as in flight, in ms.
+const LOST_MS: u64 = 30_000;
+/// Smallest share of its work for an endpoint during warm-up.
+const MIN_RAMP_SHARE: f64 = 0.1;
+/// Longest hold after a refusal, whatever time the refusal states, in ms.
+const HOLD_MAX_MS: u64 = 1_000;
+/// Hold after a refusal by an endpoint that is not ready or drains, in ms; by then its phase has spread.
+const PHASE_HOLD_MS: u64 = 500;
+
+/// Maximum share of ejected endpoints, in percent.
+const EJECTED_MAX_PERCENT: usize = 50;
+
+/// Returns whether one more endpoint may be ejected.
 ///
-/// A fault on this node's side makes all endpoints fail alike. Without a bound it would refuse all work
-/// though every upstream is well.
-pub fn may_eject<'a>(now: Ms, all: impl ExactSizeIterator<Item = &'a Experience>) -> bool {
+/// Without this bound, a fault on this node's side would eject all endpoints although they are healthy.
+pub fn may_eject<'a>(now: Ms, all: impl ExactSizeIterator<Item = &'a EndpointStats>) -> bool {
     let count = all.len();
-    let ejected = all.filter(|it| it.ejected(now)).count();
-    (ejected + 1) * 100 <= count * EJECTED_SHARE
+    let ejected = all.filter(|it| it.is_ejected(now)).count();
+    (ejected + 1) * 100 <= count * EJECTED_MAX_PERCENT
 }
 
-/// Whether an endpoint is chosen.
+/// Ejection state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// As usual.
+    /// Not ejected.
     Open,
-    /// After an ejection: one request at a time.
+    /// Half-open after an ejection: one request at a time is sent.
     Probing,
-    /// Not at all.
+    /// Not chosen.
     Ejected,
 }
 
-/// Requests that refusals keep away together: what an endpoint has no room for says little about room for others.
+/// Scope of a refusal: the requests that a hold after a refusal applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lane {
-    /// Those of one class.
+    /// Requests of one class.
     Class(Class),
-    /// Those of one kind, where entries tell kinds. A refused petition of 110 ms would otherwise keep away calls of
-    /// 22 ms, which have room, and fail the runs that make them.
+    /// Requests of one kind, where entries send kinds. A refused long request must not hold back short ones.
     Kind(Kind),
 }
 
 impl Lane {
-    /// The lane of requests of `class` and `kind`.
+    /// Returns the lane of requests of `class` and `kind`.
     pub fn of(class: Class, kind: Kind) -> Lane {
         match kind {
             Kind(0) => Lane::Class(class),
@@ -77,39 +75,41 @@
     }
 }
 
-/// What an entry has itself seen of one endpoint.
+/// Statistics of one endpoint at one entry.
 #[derive(Debug, Default)]
-pub struct Experience {
+pub struct EndpointStats {
     inflight: u32,
-    sent: Ms,
+    last_sent: Ms,
     failures: u32,
     ejections: u32,
-    ejected: Option<Ms>,
-    /// Until when it wants no work at all.
-    closed: Ms,
-    /// Until when it wants no work of a lane; few at a time.
-    held: Vec<(Lane, Ms)>,
-    pace: Option<(Ms, f64)>,
+    ejected_until: Option<Ms>,
+    /// End of the hold for all requests.
+    closed_until: Ms,
+    /// Ends of the holds by lane.
+    holds: Vec<(Lane, Ms)>,
+    /// Time of the last sample and mean latency relative to all endpoints.
+    latency: Option<(Ms, f64)>,
     load: Option<(Ms, Load)>,
-    born: Option<Ms>,
+    /// Start of the warm-up.
+    started_at: Option<Ms>,
 }
 
-impl Experience {
-    /// Of an endpoint that ran before this entry knew it.
-    pub fn warm() -> Experience {
-        Experience::default()
+impl EndpointStats {
+    /// Creates statistics of an endpoint without a warm-up.
+    pub fn warm() -> EndpointStats {
+        EndpointStats::default()
     }
 
-    /// Of an endpoint that has just started.
-    pub fn cold(now: Ms) -> Experience {
-        Experience {
-            born: Some(now),
-            ..Experience::default()
+    /// Creates statistics of an endpoint whose warm-up starts now.
+    pub fn cold(now: Ms) -> EndpointStats {
+        EndpointStats {
+            started_at: Some(now),
+            ..EndpointStats::default()
         }
     }
 
     pub fn started(&mut self, now: Ms) {
-        self.sent = now;
+        self.last_sent = now;
         self.inflight += 1;
     }
 
@@ -119,15 +119,15 @@
             self.load = Some((now, load));
         }
         match outcome {
-            Outcome::Answered { .. } => self.recover(),
+            Outcome::Answered { .. } => self.reset_failures(),
             Outcome::Refused(refusal) => {
-                self.recover();
+                self.reset_failures();
                 match refusal.reason {
                     Reason::NotReady | Reason::Draining => {
-                        self.closed = now + HOLD_PHASE.max(refusal.after.min(HOLD_MAX));
+                        self.closed_until = now + PHASE_HOLD_MS.max(refusal.after.min(HOLD_MAX_MS));
                     }
                     Reason::Overloaded | Reason::QueueFull | Reason::Shed => {
-                        self.hold(now, lane, now + refusal.after.min(HOLD_MAX));
+                        self.hold(now, lane, now + refusal.after.min(HOLD_MAX_MS));
                     }
                     _ => {}
                 }
@@ -137,98 +137,99 @@
         }
     }
 
-    /// Ejects the endpoint if it failed too often in a row.
+    /// Ejects the endpoint after too many consecutive failures, or one failure of a probe.
     pub fn eject(&mut self, now: Ms) {
-        let again = self.ejections > 0 && self.failures > 0;
-        if self.ejected(now) || (self.failures < FAILURES && !again) {
+        let probe_failed = self.ejections > 0 && self.failures > 0;
+        if self.is_ejected(now) || (self.failures < EJECT_FAILURES && !probe_failed) {
             return;
         }
-        let (first, longest) = EJECTION;
-        self.ejected = Some(now + (first << self.ejections.min(10)).min(longest));
+        let (first, longest) = EJECTION_MS;
+        self.ejected_until = Some(now + (first << self.ejections.min(10)).min(longest));
         self.ejections += 1;
     }
 
     pub fn state(&self, now: Ms) -> State {
-        match self.ejected {
+        match self.ejected_until {
             None => State::Open,
             Some(until) if until > now => State::Ejected,
             Some(_) => State::Probing,
         }
     }
 
-    /// Whether a request of `lane` may be sent there now.
-    pub fn takes(&self, now: Ms, lane: Lane) -> bool {
+    /// Returns whether a request of `lane` may be sent to the endpoint now.
+    pub fn accepts(&self, now: Ms, lane: Lane) -> bool {
         let open = match self.state(now) {
             State::Open => true,
-            State::Probing => !self.awaited(now),
+            State::Probing => !self.is_awaiting(now),
             State::Ejected => false,
         };
-        open && self.held(now, lane) == 0
+        open && self.hold_left(now, lane) == 0
     }
 
-    pub fn ejected(&self, now: Ms) -> bool {
+    pub fn is_ejected(&self, now: Ms) -> bool {
         self.state(now) == State::Ejected
     }
 
-    /// Time for which the endpoint wants no work of `lane`, in ms.
-    pub fn held(&self, now: Ms, lane: Lane) -> u64 {
-        let held = self.held.iter().find(|it| it.0 == lane);
-        held.map_or(self.closed, |it| it.1.max(self.closed))
+    /// Returns the time left of the hold for requests of `lane`, in ms.
+    pub fn hold_left(&self, now: Ms, lane: Lane) -> u64 {
+        let hold = self.holds.iter().find(|it| it.0 == lane);
+        hold.map_or(self.closed_until, |it| it.1.max(self.closed_until))
             .since(now)
     }
 
-    /// Whether an answer is still expected. A request whose end was never told must not stop all probes.
-    pub fn awaited(&self, now: Ms) -> bool {
-        self.inflight > 0 && now.since(self.sent) < LOST
+    /// Returns whether an answer is still expected. A request without a recorded end must not block probes forever.
+    pub fn is_awaiting(&self, now: Ms) -> bool {
+        self.inflight > 0 && now.since(self.last_sent) < LOST_MS
     }
 
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Mean latency relative to that of all endpoints; returns towards one while it is not measured.
-    pub fn pace(&self, now: Ms) -> f64 {
-        let Some((at, pace)) = self.pace else {
+    /// Returns the mean latency relative to that of all endpoints; decays towards one while it is not measured.
+    pub fn relative_latency(&self, now: Ms) -> f64 {
+        let Some((at, latency)) = self.latency else {
             return 1.0;
         };
-        let fresh = 0.5f64.powf(now.since(at) as f64 / PACE_AGE);
-        1.0 + fresh * (pace - 1.0)
+        let weight = 0.5f64.powf(now.since(at) as f64 / LATENCY_HALF_LIFE_MS);
+        1.0 + weight * (latency - 1.0)
     }
 
-    /// Counts an answer that took `sample` times the mean latency.
-    pub fn measure(&mut self, now: Ms, sample: f64) {
-        let mean = self.pace(now);
-        self.pace = Some((now, mean + PACE_GAIN * (sample - mean)));
+    /// Records an answer that took `sample` times the mean latency.
+    pub fn record_latency(&mut self, now: Ms, sample: f64) {
+        let mean = self.relative_latency(now);
+        self.latency = Some((now, mean + LATENCY_GAIN * (sample - mean)));
     }
 
-    /// Requests at the endpoint: the own ones, or those that it told of lately if they are more.
+    /// Returns the number of requests at the endpoint: those in flight from here, or the reported load if larger. The
+    /// reported load loses weight with its age.
     pub fn load(&self, now: Ms) -> f64 {
         let own = f64::from(self.inflight);
         let Some((at, load)) = self.load else {
             return own;
         };
-        let fresh = (1.0 - now.since(at) as f64 / LOAD_AGE).max(0.0);
-        own.max(fresh * (f64::from(load.running) + f64::from(load.waiting)))
+        let weight = (1.0 - now.since(at) as f64 / LOAD_MAX_AGE_MS).max(0.0);
+        own.max(weight * (f64::from(load.running) + f64::from(load.waiting)))
     }
 
-    /// Share of its full work that the endpoint is given, from [`COLD`] to one over `ramp` ms.
-    pub fn warmth(&self, now: Ms, ramp: u64) -> f64 {
-        match self.born {
-            Some(born) if now.since(born) < ramp => {
-                (now.since(born) as f64 / ramp as f64).max(COLD)
+    /// Returns the share of its full work that the endpoint gets: rises from [`MIN_RAMP_SHARE`] to one over `ramp` ms.
+    pub fn ramp_share(&self, now: Ms, ramp: u64) -> f64 {
+        match self.started_at {
+            Some(start) if now.since(start) < ramp => {
+                (now.since(start) as f64 / ramp as f64).max(MIN_RAMP_SHARE)
             }
             _ => 1.0,
         }
     }
 
     fn hold(&mut self, now: Ms, lane: Lane, until: Ms) {
-        self.held.retain(|it| it.0 != lane && it.1 > now);
-        self.held.push((lane, until));
+        self.holds.retain(|it| it.0 != lane && it.1 > now);
+        self.holds.push((lane, until));
     }
 
-    fn recover(&mut self) {
+    fn reset_failures(&mut self) {
         self.failures = 0;
         self.ejections = 0;
-        self.ejected = None;
+        self.ejected_until = None;
     }
 }
--- a/crates/kernel/src/pick/placement.rs
+++ b/crates/kernel/src/pick/placement.rs
@@ -1,12 +1,8 @@
-//! Placement: which endpoint a request with a latency goal goes to.
+//! Load balancing at the entry for requests with a latency goal.
 //!
-//! Work stays in its own availability zone as long as an endpoint there reaches the goal: a hop to another zone
-//! costs money for each byte and brings nothing to a caller whose answer is in time anyway. It leaves the zone
-//! only for an endpoint that does reach the goal where none of the own zone does. What nobody can answer in time
-//! stays at home.
-//!
-//! Expected times come from what owners tell with their answers ([`Outlook`]), aged, plus what this entry has sent
-//! since; what the entry itself has seen of an endpoint's failures goes before that.
+//! A request leaves its availability zone, which costs money per byte, only if no endpoint of its own zone and some
+//! endpoint of another zone is expected to reach the goal. Expected times come from the outlooks that owners report
+//! ([`Outlook`]), discounted by age, plus the requests that this entry has sent since.
 
 use std::collections::HashMap;
 
@@ -14,7 +10,7 @@
 
 use super::{
     Choice, Outcome, Place,
-    experience::{Experience, Lane, may_eject},
+    experience::{EndpointStats, Lane, may_eject},
     last_resort,
 };
 use crate::{
@@ -28,102 +24,97 @@
     view::Endpoint,
 };
 
-/// Share of the time left to the goal that the expected time at a near endpoint may take, in percent.
-///
-/// Half of the runs take longer than the mean they are expected to take, and what owners told is some tens of ms
-/// old. Too large a share keeps work at home that then misses its goal; too small a one sends work away for
-/// nothing.
-const NEAR_SHARE: u64 = 85;
-/// The same for an endpoint in another zone: no less certain than at home, or the hop is paid for nothing.
-const FAR_SHARE: u64 = 75;
-/// Time that a hop to another zone and back adds, in ms.
-const FAR_MS: f64 = 2.0;
-/// The same to another region.
-const REGION_MS: f64 = 40.0;
-/// Age at which what an owner told counts for nothing, in ms: a queue of a few slots turns over within it.
-const AGE_MS: f64 = 1_000.0;
-/// Hold time assumed of an endpoint that has told nothing yet, in ms.
-const UNKNOWN_MS: f64 = 60.0;
-/// Share of a new outcome in the share of failed ones: ten outcomes tell a faulty endpoint from a sound one.
+/// Maximum expected time at an endpoint of the own zone, in percent of the time left to the goal. The rest covers
+/// requests that take longer than the mean.
+const NEAR_GOAL_PERCENT: u64 = 85;
+/// Maximum expected time at an endpoint of another zone, in percent of the time left to the goal.
+const FAR_GOAL_PERCENT: u64 = 75;
+/// Round trip to another zone of the region, in ms.
+const ZONE_HOP_MS: f64 = 2.0;
+/// Round trip to another region, in ms.
+const REGION_HOP_MS: f64 = 40.0;
+/// Age from which the wait in an outlook is ignored, in ms.
+const OUTLOOK_MAX_AGE_MS: f64 = 1_000.0;
+/// Service time assumed for an endpoint without an outlook, in ms.
+const UNKNOWN_SERVICE_MS: f64 = 60.0;
+/// Weight of a new outcome in the fault rate.
 const FAULT_GAIN: f64 = 0.1;
-/// Time after which half of the share of failed outcomes is forgotten while none is added, in ms.
-const FAULT_AGE: f64 = 2_000.0;
-/// Time that a certain failure costs, in ms: another hop, and perhaps a retry by the caller.
-const FAULT_MS: f64 = 300.0;
-/// Spread of the random factor on expected times, so that entries that were told the same do not all choose the
-/// same endpoint.
+/// Half-life of the fault rate, in ms.
+const FAULT_HALF_LIFE_MS: f64 = 2_000.0;
+/// Expected time added at a fault rate of one, in ms, for a further attempt.
+const FAULT_COST_MS: f64 = 300.0;
+/// Jitter of the expected times, so that entries with the same outlooks do not all choose the same endpoint.
 const JITTER: f64 = 0.15;
-/// Endpoints of its own zone that a request may probe before it queues at one. An entry of a large fleet hears of each
-/// endpoint about once a second, so all of them take the fastest for free and queue there while others idle; two
-/// probes bring 89 instead of 85 of 100 answers in time at four fifths of the fleet's room (`tests/placement_fleet.rs`).
+/// Maximum number of endpoints of the own zone that a request probes before it queues at one. Without probes, the
+/// entries of a large fleet, whose outlooks are old, would all queue at the fastest endpoints.
 const PROBES_MAX: usize = 2;
-/// How much longer than at the best other endpoint an answer of the one on the entry's own host may be expected to take: how it
-/// stands is known without a hop, while the best of many is often one that all entries take for idle.
-const OWN_FACTOR: f64 = 1.5;
-/// Age up to which what an owner told is taken for how things stand, in ms; older, a request probes.
-const RECENT_MS: u64 = 250;
-/// When to come back if a service has no endpoint, in ms: the members tell of a new one within that.
-const NO_ENDPOINT_MS: u64 = 300;
-/// Shortest time after which a refused request has another chance, in ms.
-const BUSY_MS: u64 = 20;
+/// Maximum ratio of the expected time at the endpoint on the entry's own host to that at the best endpoint for which
+/// the own host is preferred.
+const OWN_HOST_FACTOR: f64 = 1.5;
+/// Maximum age of an outlook for requests to queue without a probe, in ms.
+const OUTLOOK_RECENT_MS: u64 = 250;
+/// Time to wait before a retry if the service has no endpoint, in ms.
+const NO_ENDPOINT_RETRY_MS: u64 = 300;
+/// Minimum time to wait before a retry of a refused request, in ms.
+const BUSY_RETRY_MS: u64 = 20;
 
-/// Most endpoints of one service in its own zone, and in all others, that an entry sends to. Without a bound each node of
-/// a large fleet holds connections to all others and hears of each one rarely; this many leave it a choice among
-/// endpoints that are idle, and one to fall back on in another zone.
+/// Maximum number of endpoints of the own zone that an entry uses per service. It bounds the connections of each node
+/// in a large fleet.
 pub const NEAR_MAX: usize = 16;
+/// Maximum number of endpoints of all other zones that an entry uses per service.
 pub const FAR_MAX: usize = 8;
 
-/// Endpoints of one service and what this entry knows of them.
+/// Endpoints of one service that this entry uses, with their statistics and outlooks.
 #[derive(Debug)]
 pub struct Placement {
     own: NodeId,
     place: Place,
     members: Vec<Member>,
-    slots: HashMap<NodeId, usize>,
+    positions: HashMap<NodeId, usize>,
 }
 
 #[derive(Debug)]
 struct Member {
     endpoint: Endpoint,
     distance: Distance,
-    experience: Experience,
-    told: Option<(Ms, Outlook)>,
-    /// Requests sent since the owner last told its outlook.
-    since: u32,
-    /// Share of failed outcomes, and when it was last brought up to date.
-    faults: (Ms, f64),
+    stats: EndpointStats,
+    outlook: Option<(Ms, Outlook)>,
+    /// Number of requests sent since the last outlook.
+    sent_since: u32,
+    /// Time of the last update and share of failed outcomes.
+    fault_rate: (Ms, f64),
 }
 
-/// How far an endpoint is.
+/// Distance of an endpoint from the entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     Zone,
     Region,
-    Beyond,
+    OtherRegion,
 }
 
 impl Placement {
-    /// A placement for the entry `own` at `place`, without endpoints.
+    /// Creates a placement without endpoints for the entry `own` at `place`.
     pub fn new(own: NodeId, place: Place) -> Placement {
         Placement {
             own,
             place,
             members: Vec::new(),
-            slots: HashMap::new(),
+            positions: HashMap::new(),
         }
     }
 
-    /// Follows the view's endpoints; what is known of one stays as long as its incarnation does.
+    /// Updates the endpoints from the view. Statistics are kept per incarnation of an endpoint.
     pub fn refresh(&mut self, endpoints: &[Endpoint]) {
-        let mut known: HashMap<NodeId, Member> = std::mem::take(&mut self.members)
+        let mut previous: HashMap<NodeId, Member> = std::mem::take(&mut self.members)
             .into_iter()
             .map(|it| (it.endpoint.node, it))
             .collect();
         let usable = endpoints.iter().filter(|it| it.phase == Phase::Ready);
         self.members = self
-            .chosen(usable)
+            .select_endpoints(usable)
             .into_iter()
-            .map(|it| match known.remove(&it.node) {
+            .map(|it| match previous.remove(&it.node) {
                 Some(member) if member.endpoint.incarnation == it.incarnation => Member {
                     endpoint: it.clone(),
                     ..member
@@ -131,45 +122,51 @@
                 _ => Member {
                     endpoint: it.clone(),
                     distance: self.distance(it),
-                    experience: Experience::warm(),
-                    told: None,
-                    since: 0,
-                    faults: (Ms(0), 0.0),
+                    stats: EndpointStats::warm(),
+                    outlook: None,
+                    sent_since: 0,
+                    fault_rate: (Ms(0), 0.0),
                 },
             })
             .collect();
-        self.slots = (0..)
+        self.positions = (0..)
             .zip(&self.members)
-            .map(|(at, it)| (it.endpoint.node, at))
+            .map(|(idx, it)| (it.endpoint.node, idx))
             .collect();
     }
 
-    /// The endpoints that this entry sends to. Entries differ in them, and one that comes or goes changes little for the
-    /// others, as each keeps its own order of all.
-    fn chosen<'a>(&self, usable: impl Iterator<Item = &'a Endpoint>) -> Vec<&'a Endpoint> {
+    /// Returns the endpoints that this entry uses, selected by rendezvous hashing.
+    fn select_endpoints<'a>(
+        &self,
+        usable: impl Iterator<Item = &'a Endpoint>,
+    ) -> Vec<&'a Endpoint> {
         let (near, far): (Vec<&Endpoint>, Vec<&Endpoint>) =
             usable.partition(|it| self.distance(it) == Distance::Zone);
-        let mut chosen = self.first(near, NEAR_MAX);
-        chosen.extend(self.first(far, FAR_MAX));
-        chosen
+        let mut selected = self.first_ranked(near, NEAR_MAX);
+        selected.extend(self.first_ranked(far, FAR_MAX));
+        selected
     }
 
-    /// The first `count` of them in this entry's order: the one on its own host, which is there also where the host is cut
-    /// off, then others that can be reached.
-    fn first<'a>(&self, mut endpoints: Vec<&'a Endpoint>, count: usize) -> Vec<&'a Endpoint> {
+    /// Returns the first `count` endpoints in this entry's order: reachable ones first, the one on the own host before
+    /// the others.
+    fn first_ranked<'a>(
+        &self,
+        mut endpoints: Vec<&'a Endpoint>,
+        count: usize,
+    ) -> Vec<&'a Endpoint> {
         if endpoints.len() <= count {
             return endpoints;
         }
         endpoints.sort_by_cached_key(|it| {
             let unreachable = it.reach == Reach::Unreachable;
-            let other = it.node != self.own;
-            (unreachable, other, pair(self.own, it.node))
+            let other_host = it.node != self.own;
+            (unreachable, other_host, pair_hash(self.own, it.node))
         });
         endpoints.truncate(count);
         endpoints
     }
 
-    /// Chooses an endpoint for a request that already failed at `tried`.
+    /// Chooses an endpoint for a request that was already sent to `tried`.
     pub fn place(&self, now: Ms, rng: &mut impl Rng, order: Order, tried: &[NodeId]) -> Choice {
         let rank = rank_of(order.priority);
         let lane = Lane::of(routing::class_of(order.priority), order.kind);
@@ -180,50 +177,51 @@
         };
         let mut best: [Option<(f64, &Member)>; 2] = [None, None];
         for member in untried().filter(|it| it.usable(now, lane)) {
-            let cost = member.expected(now, rank) * rng.random_range(1.0 - JITTER..1.0 + JITTER);
-            let slot = &mut best[usize::from(member.distance != Distance::Zone)];
-            if slot.is_none_or(|(least, _)| cost < least) {
-                *slot = Some((cost, member));
+            let cost =
+                member.expected_time(now, rank) * rng.random_range(1.0 - JITTER..1.0 + JITTER);
+            let current = &mut best[usize::from(member.distance != Distance::Zone)];
+            if current.is_none_or(|(least, _)| cost < least) {
+                *current = Some((cost, member));
             }
         }
         let near = untried().filter(|it| it.distance == Distance::Zone && it.usable(now, lane));
         let probes = tried.len() < PROBES_MAX && near.count() > PROBES_MAX;
         let left = order.goal.since(now);
-        let within = |cost: f64, share: u64| cost <= (left * share / 100) as f64;
+        let within = |cost: f64, percent: u64| cost <= (left * percent / 100) as f64;
         if let (true, [Some((near, _)), _]) = (probes, best) {
             let own = untried().find(|it| it.endpoint.node == self.own && it.usable(now, lane));
-            let cost = own.map(|it| (it.expected(now, rank), it));
+            let cost = own.map(|it| (it.expected_time(now, rank), it));
             if let Some((cost, it)) = cost
-                && within(cost, NEAR_SHARE)
-                && cost <= OWN_FACTOR * near
+                && within(cost, NEAR_GOAL_PERCENT)
+                && cost <= OWN_HOST_FACTOR * near
             {
                 return Choice::Probe(it.endpoint.clone());
             }
         }
         let chosen = match best {
-            [Some((near, it)), _] if within(near, NEAR_SHARE) => Some(it),
-            [_, Some((far, it))] if within(far, FAR_SHARE) => Some(it),
+            [Some((near, it)), _] if within(near, NEAR_GOAL_PERCENT) => Some(it),
+            [_, Some((far, it))] if within(far, FAR_GOAL_PERCENT) => Some(it),
             [Some((_, it)), _] | [None, Some((_, it))] => Some(it),
             [None, None] => None,
         };
         match chosen {
-            Some(it) if probes && it.distance == Distance::Zone && !it.heard(now) => {
+            Some(it) if probes && it.distance == Distance::Zone && !it.is_recent(now) => {
                 Choice::Probe(it.endpoint.clone())
             }
             Some(it) => Choice::Send(it.endpoint.clone()),
-            None => self.nobody(now, lane, untried()),
+            None => self.fallback_choice(now, lane, untried()),
         }
     }
 
-    /// Counts an attempt sent to `node`.
+    /// Records an attempt sent to `node`.
     pub fn started(&mut self, now: Ms, node: NodeId) {
         if let Some(it) = self.member(node) {
-            it.experience.started(now);
-            it.since += 1;
+            it.stats.started(now);
+            it.sent_since += 1;
         }
     }
 
-    /// Counts the end of an attempt at `node`, with the outlook that its answer told.
+    /// Records the end of an attempt at `node`, with the outlook reported in its answer.
     pub fn finished(
         &mut self,
         now: Ms,
@@ -232,40 +230,40 @@
         outcome: Outcome,
         outlook: Option<Outlook>,
     ) {
-        let experiences = self.members.iter().map(|it| &it.experience);
-        let may_eject = outcome == Outcome::Failed && may_eject(now, experiences);
+        let all_stats = self.members.iter().map(|it| &it.stats);
+        let may_eject = outcome == Outcome::Failed && may_eject(now, all_stats);
         let Some(it) = self.member(node) else {
             return;
         };
-        it.experience.finished(now, lane.into(), outcome, None);
+        it.stats.finished(now, lane.into(), outcome, None);
         if let Some(outlook) = outlook {
-            it.told = Some((now, outlook));
-            it.since = 0;
+            it.outlook = Some((now, outlook));
+            it.sent_since = 0;
         }
-        it.count(now, outcome);
+        it.record_outcome(now, outcome);
         if may_eject {
-            it.experience.eject(now);
+            it.stats.eject(now);
         }
     }
 
-    /// Endpoints that may be chosen at all.
+    /// Returns the number of endpoints in use.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no endpoint may be chosen.
+    /// Returns whether there is no endpoint.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
     fn member(&mut self, node: NodeId) -> Option<&mut Member> {
-        let at = *self.slots.get(&node)?;
-        self.members.get_mut(at)
+        let idx = *self.positions.get(&node)?;
+        self.members.get_mut(idx)
     }
 
     fn distance(&self, endpoint: &Endpoint) -> Distance {
         if endpoint.region != self.place.region {
-            return Distance::Beyond;
+            return Distance::OtherRegion;
         }
         match endpoint.zone == self.place.zone {
             true => Distance::Zone,
@@ -273,20 +271,25 @@
         }
     }
 
-    /// Nobody takes work: when to come back, or an ejected endpoint rather than nobody.
-    fn nobody<'a>(&self, now: Ms, lane: Lane, left: impl Iterator<Item = &'a Member>) -> Choice {
-        let left = left.map(|it| (&it.endpoint, &it.experience));
+    /// Returns the choice when no endpoint accepts the request: a refusal, or an ejected endpoint.
+    fn fallback_choice<'a>(
+        &self,
+        now: Ms,
+        lane: Lane,
+        untried: impl Iterator<Item = &'a Member>,
+    ) -> Choice {
+        let untried = untried.map(|it| (&it.endpoint, &it.stats));
         let (reason, after) = match self.is_empty() {
-            true => (Reason::NoEndpoint, NO_ENDPOINT_MS),
-            false => (Reason::Overloaded, BUSY_MS),
+            true => (Reason::NoEndpoint, NO_ENDPOINT_RETRY_MS),
+            false => (Reason::Overloaded, BUSY_RETRY_MS),
         };
-        last_resort(now, lane, BUSY_MS, left)
+        last_resort(now, lane, BUSY_RETRY_MS, untried)
             .unwrap_or_else(|| Choice::Refuse(Refusal::after(reason, after)))
     }
 }
 
-/// A number of the pair of nodes that looks random and stays the same.
-fn pair(entry: NodeId, endpoint: NodeId) -> u64 {
+/// Returns the rendezvous hash of an entry and an endpoint.
+fn pair_hash(entry: NodeId, endpoint: NodeId) -> u64 {
     hash64(&[
         entry.0.to_string().as_bytes(),
         endpoint.0.to_string().as_bytes(),
@@ -295,57 +298,58 @@
 
 impl Member {
     fn usable(&self, now: Ms, lane: Lane) -> bool {
-        self.endpoint.reach != Reach::Unreachable && self.experience.takes(now, lane)
+        self.endpoint.reach != Reach::Unreachable && self.stats.accepts(now, lane)
     }
 
-    /// Whether what its owner told is recent enough to queue on.
-    fn heard(&self, now: Ms) -> bool {
-        self.told.is_some_and(|(at, _)| now.since(at) <= RECENT_MS)
+    /// Returns whether the outlook is recent enough to queue without a probe.
+    fn is_recent(&self, now: Ms) -> bool {
+        self.outlook
+            .is_some_and(|(at, _)| now.since(at) <= OUTLOOK_RECENT_MS)
     }
 
-    /// Expected time until the answer of a request of `rank`, in ms.
-    fn expected(&self, now: Ms, rank: usize) -> f64 {
+    /// Returns the expected time from sending a request of `rank` to its answer, in ms.
+    fn expected_time(&self, now: Ms, rank: usize) -> f64 {
         let hop = match self.distance {
             Distance::Zone => 0.0,
-            Distance::Region => FAR_MS,
-            Distance::Beyond => REGION_MS,
+            Distance::Region => ZONE_HOP_MS,
+            Distance::OtherRegion => REGION_HOP_MS,
         };
-        hop + self.wait(now, rank) + self.service(rank) + FAULT_MS * self.fault_share(now)
+        hop + self.wait(now, rank) + self.service(rank) + FAULT_COST_MS * self.fault_rate(now)
     }
 
     fn service(&self, rank: usize) -> f64 {
-        self.told
-            .map_or(UNKNOWN_MS, |(_, it)| f64::from(it.service[rank]))
+        self.outlook
+            .map_or(UNKNOWN_SERVICE_MS, |(_, it)| f64::from(it.service[rank]))
     }
 
-    /// What the owner told, aged, and what was sent there since.
+    /// Returns the expected wait of a request of `rank`, in ms: that of the outlook, discounted by age, plus that behind
+    /// the requests sent since.
     fn wait(&self, now: Ms, rank: usize) -> f64 {
-        let Some((at, told)) = self.told else {
-            // Requests sent blindly queue up unseen until the first answer.
+        let Some((at, outlook)) = self.outlook else {
             let slots = f64::from(self.endpoint.slots.max(1));
-            return (f64::from(self.since) - slots).max(0.0) * UNKNOWN_MS / slots;
+            return (f64::from(self.sent_since) - slots).max(0.0) * UNKNOWN_SERVICE_MS / slots;
         };
-        let fresh = (1.0 - now.since(at) as f64 / AGE_MS).max(0.0);
-        let slots = f64::from(told.slots.max(1));
-        let beyond = f64::from(self.since) - f64::from(told.free);
-        let mean = told.service.iter().copied().map(f64::from).sum::<f64>() / RANKS as f64;
-        fresh * f64::from(told.wait[rank]) + beyond.max(0.0) * mean / slots
+        let weight = (1.0 - now.since(at) as f64 / OUTLOOK_MAX_AGE_MS).max(0.0);
+        let slots = f64::from(outlook.slots.max(1));
+        let queued = f64::from(self.sent_since) - f64::from(outlook.free);
+        let mean = outlook.service.iter().copied().map(f64::from).sum::<f64>() / RANKS as f64;
+        weight * f64::from(outlook.wait[rank]) + queued.max(0.0) * mean / slots
     }
 
-    fn count(&mut self, now: Ms, outcome: Outcome) {
+    fn record_outcome(&mut self, now: Ms, outcome: Outcome) {
         let fault = match outcome {
             Outcome::Answered { .. } => 0.0,
             Outcome::Failed => 1.0,
             Outcome::Refused(refusal) if refusal.reason == Reason::Shed => 1.0,
-            // A full queue or a caller that left says nothing of the endpoint.
+            // A full queue or a cancellation is no fault of the endpoint.
             Outcome::Refused(_) | Outcome::Cancelled => return,
         };
-        let share = self.fault_share(now);
-        self.faults = (now, share + FAULT_GAIN * (fault - share));
+        let rate = self.fault_rate(now);
+        self.fault_rate = (now, rate + FAULT_GAIN * (fault - rate));
     }
 
-    fn fault_share(&self, now: Ms) -> f64 {
-        let (at, share) = self.faults;
-        share * 0.5f64.powf(now.since(at) as f64 / FAULT_AGE)
+    fn fault_rate(&self, now: Ms) -> f64 {
+        let (at, rate) = self.fault_rate;
+        rate * 0.5f64.powf(now.since(at) as f64 / FAULT_HALF_LIFE_MS)
     }
 }
--- a/crates/kernel/src/refusal.rs
+++ b/crates/kernel/src/refusal.rs
@@ -1,23 +1,23 @@
-//! Why a request was not run, and when to come back.
+//! Refusals: the reason for which a request was not run, and when to retry it.
 
 use std::{fmt, str::FromStr};
 
-/// Why a request was refused. In every case the request was not run.
+/// Reason of a refusal. A refused request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
-    /// The node or its upstream has not finished starting.
+    /// The node or its upstream is still starting.
     NotReady,
-    /// The upstream is leaving.
+    /// The upstream drains.
     Draining,
-    /// The request would have to wait longer than is useful.
+    /// The request would have to wait too long.
     Overloaded,
     /// The queue of the request's class is full.
     QueueFull,
-    /// The deadline passed, or can no longer be met.
+    /// The deadline has passed or can no longer be met.
     Expired,
     /// The caller gave up.
     Cancelled,
-    /// The caller exceeds its rate.
+    /// The caller exceeds its rate limit.
     Limited,
     /// The request is suspected of crashing upstreams.
     Quarantined,
@@ -25,13 +25,13 @@
     NoClaim,
     /// No endpoint of the service can be used.
     NoEndpoint,
-    /// The upstream itself turned the request away.
+    /// The upstream itself rejected the request.
     Shed,
-    /// The link to the endpoint's host has no room for the body.
+    /// The link of the endpoint's host has no capacity for the body.
     LinkFull,
 }
 
-/// Every reason.
+/// All reasons.
 pub const REASONS: [Reason; 12] = [
     Reason::NotReady,
     Reason::Draining,
@@ -47,33 +47,33 @@
     Reason::LinkFull,
 ];
 
-/// The answer to a request that was not run.
+/// Answer to a request that was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why it was not run.
+    /// Reason for which it was not run.
     pub reason: Reason,
-    /// How long to wait before the same request has a chance here, in ms.
+    /// Time to wait before a retry at the same endpoint, in ms.
     pub after: u64,
 }
 
-/// Where a refused request may be tried again.
+/// Where a refused request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Remedy {
-    /// Another endpoint may take it at once.
+    /// At another endpoint, at once.
     Elsewhere,
-    /// Every endpoint would answer alike: only waiting helps.
+    /// At any endpoint, after a delay: all of them would refuse it now.
     Later,
-    /// Nobody waits for the answer any more.
+    /// Not at all: the caller no longer waits for the answer.
     Never,
 }
 
-/// The text names no [`Reason`].
+/// The text is not the name of a [`Reason`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("refusal reason {0:?} is not known: update this node, or treat it as overloaded")]
 pub struct BadReason(pub String);
 
 impl Reason {
-    /// The stable name, used in headers, logs and metrics.
+    /// Returns the stable name that headers, logs and metrics use.
     pub fn as_str(self) -> &'static str {
         match self {
             Reason::NotReady => "not-ready",
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Where the request may be tried again.
+    /// Returns where the request may be retried.
     pub fn remedy(self) -> Remedy {
         match self {
             Reason::NotReady
@@ -109,12 +109,12 @@
 }
 
 impl Refusal {
-    /// A refusal that another endpoint may undo at once.
+    /// Creates a refusal without a delay.
     pub fn new(reason: Reason) -> Refusal {
         Refusal { reason, after: 0 }
     }
 
-    /// A refusal with a hint of when to come back, in ms.
+    /// Creates a refusal with the time to wait before a retry, `after`, in ms.
     pub fn after(reason: Reason, after: u64) -> Refusal {
         Refusal { reason, after }
     }
--- a/crates/kernel/src/retry.rs
+++ b/crates/kernel/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries at the entry: deadlines that travel, budgets, and which failures may be tried again.
+//! Retry policy of the entry: deadline propagation, retry budgets, and which failures may be retried.
 
 use std::{fmt, str::FromStr};
 
@@ -10,62 +10,60 @@
     refusal::{Reason, Refusal, Remedy},
 };
 
-/// The deepest call tree whose calls are still retried.
+/// Call depth from which requests are not retried.
 pub const MAX_DEPTH: u8 = 10;
-/// Retries that a request without a [`Tree`] brings along for its whole call tree.
+/// Retries for the whole call tree of a request that arrives without a [`Tree`].
 const TREE_RETRIES: u8 = 2;
 /// Cost of one retry in the units of [`Budget`].
 const RETRY_COST: u64 = 100;
-/// Most retries that a budget saves up.
+/// Maximum number of tokens in a budget.
 const BUDGET_CAP: u64 = 10 * RETRY_COST;
-/// Time after which an idle budget earns one retry, in ms.
-const BUDGET_REFILL: u64 = 2_000;
-/// First and longest pause before a retry that has nowhere else to go, in ms.
-const BACKOFF: (u64, u64) = (5, 200);
+/// Interval at which a budget is refilled to at least one retry, in ms.
+const BUDGET_REFILL_MS: u64 = 2_000;
+/// First and longest back-off, in ms.
+const BACKOFF_MS: (u64, u64) = (5, 200);
 
-/// The moment from which an answer is worthless to its caller.
+/// Time from which an answer is of no use to its caller.
 ///
-/// Between processes it travels as the time left, so that clocks need not agree.
+/// Processes send each other the time left, so that their clocks need not agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Deadline(Ms);
 
 impl Deadline {
-    /// A deadline `left` ms from `now`.
+    /// Returns the deadline `left` ms from `now`.
     pub fn after(now: Ms, left: u64) -> Deadline {
         Deadline(now + left)
     }
 
-    /// The moment.
+    /// Returns the deadline as a time.
     pub fn at(self) -> Ms {
         self.0
     }
 
-    /// Time left in ms, which is also what travels to the next hop.
+    /// Returns the time left in ms; this value is sent to the next hop.
     pub fn left(self, now: Ms) -> u64 {
         self.0.since(now)
     }
 
-    /// The deadline for the next hop, earlier by the time that its answer needs to come back.
+    /// Returns the deadline for the next hop: earlier by `margin` ms, the time for its answer to travel back.
     pub fn shrink(self, margin: u64) -> Deadline {
         Deadline(Ms(self.0.0.saturating_sub(margin)))
     }
 
-    /// The earlier of two deadlines, such as the caller's and the route's.
+    /// Returns the earlier of two deadlines, such as the caller's and the route's.
     pub fn min(self, other: Deadline) -> Deadline {
         Deadline(self.0.min(other.0))
     }
 }
 
-/// What a request may still spend on retries in its whole call tree. It travels with the request.
+/// Retries left in a request's call tree, sent along with the request.
 ///
-/// A tree of calls ten deep in which each level tries three times runs the deepest call 59,049 times.
-/// Retries that an attempt takes along are no longer there for its parent, so all levels together never
-/// retry more often than the root was given.
+/// Each attempt takes its share from its parent, so that all levels together never exceed the retries of the root.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tree {
-    /// Retries left for this call and all below it.
+    /// Retries left for this call and all calls below it.
     pub retries: u8,
-    /// Calls above this one.
+    /// Number of calls above this one.
     pub depth: u8,
 }
 
@@ -79,7 +77,7 @@
 }
 
 impl Tree {
-    /// Splits off what an attempt may spend below this call; the rest stays here.
+    /// Splits off the retries for the calls below an attempt; the rest stays with this call.
     pub fn split(&mut self) -> Tree {
         let below = self.retries / 2;
         self.retries -= below;
@@ -116,7 +114,7 @@
     }
 }
 
-/// Retries of one service at one entry, as a share of its successes.
+/// Retry budget of one service at one entry, a share of its successes.
 #[derive(Clone, Debug)]
 pub struct Budget {
     percent: u64,
@@ -125,7 +123,7 @@
 }
 
 impl Budget {
-    /// A budget of `percent` retries a hundred successes, with one retry to begin with unless it is zero.
+    /// Creates a budget of `percent` retries per hundred successes. It starts with one retry unless `percent` is zero.
     pub fn new(now: Ms, percent: u32) -> Budget {
         Budget {
             percent: u64::from(percent),
@@ -134,17 +132,17 @@
         }
     }
 
-    /// Follows the document.
+    /// Sets the number of retries per hundred successes.
     pub fn set_percent(&mut self, percent: u32) {
         self.percent = u64::from(percent);
     }
 
-    /// Counts a success.
+    /// Records a success.
     pub fn success(&mut self) {
         self.tokens = (self.tokens + self.percent).min(BUDGET_CAP);
     }
 
-    /// Spends one retry if there is one.
+    /// Spends one retry, if there is one; returns whether it did.
     fn spend(&mut self, now: Ms) -> bool {
         self.refill(now);
         if self.tokens < RETRY_COST {
@@ -154,9 +152,9 @@
         true
     }
 
-    /// Lets a service with little traffic retry now and then. A percentage of zero forbids it.
+    /// Refills the budget to one retry per interval for services with little traffic, unless the percentage is zero.
     fn refill(&mut self, now: Ms) {
-        if now.since(self.refilled) < BUDGET_REFILL {
+        if now.since(self.refilled) < BUDGET_REFILL_MS {
             return;
         }
         self.refilled = now;
@@ -166,82 +164,81 @@
     }
 }
 
-/// How an attempt failed.
+/// Kind of failure of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It was not run.
+    /// The request was not run.
     NotRun(Refusal),
-    /// It may or may not have been run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Whether the entry knows an endpoint that this request has not tried.
+/// Whether there are endpoints that this request has not tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Untried {
-    /// There is one.
+    /// At least one.
     Some,
-    /// All have been tried.
+    /// All endpoints were tried.
     None,
 }
 
-/// What to do after a failed attempt.
+/// Next step after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Try again after this many ms.
+    /// Retry the request.
     Retry {
-        /// Pause in ms; zero means at once.
+        /// Delay in ms; zero means at once.
         after: u64,
     },
-    /// Answer the caller now.
+    /// Answer the caller with the failure.
     GiveUp(GiveUp),
 }
 
-/// Why no further attempt is made.
+/// Reason for which no further attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUp {
-    /// The failure is final, whoever tries again.
+    /// The failure can't be retried.
     Final,
-    /// The request has used its attempts, or its call tree's.
+    /// The attempts of the request or the retries of its call tree are used up.
     Attempts,
-    /// The service's budget is spent.
+    /// The service's retry budget is used up.
     Budget,
-    /// The deadline comes before a further attempt could.
+    /// The deadline is before the next possible attempt.
     Deadline,
 }
 
-/// One request at the entry, over all its attempts.
+/// Retry state of one request at the entry.
 #[derive(Clone, Debug)]
 pub struct Retry {
     repeat: Repeat,
     deadline: Deadline,
     tree: Tree,
-    left: u32,
-    pauses: u32,
+    attempts_left: u32,
+    backoffs: u32,
     counted: Counted,
-    hops: u32,
+    node_refusals: u32,
 }
 
-/// Which failed attempts use up attempts and budget.
+/// Which failed attempts are charged to the attempts and the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counted {
-    /// All of them.
+    /// All failed attempts.
     All,
-    /// Those that reached an upstream. A refusal by the node beside it costs nobody but the nodes, so a request
-    /// moves on to the next one at once, a few times; where all refuse, its caller learns it at once.
+    /// Those that reached an upstream. After a refusal by a node the request is sent to the next one without a charge,
+    /// up to `NODE_REFUSALS_MAX` refusals.
     Reached,
 }
 
-/// Most nodes that may refuse one request before its caller is told: with the second and third choice refusing as
-/// well, the service as a whole is short of room.
-const HOPS_MAX: u32 = 3;
+/// Number of refusals by nodes after which a request fails.
+const NODE_REFUSALS_MAX: u32 = 3;
 
 impl Retry {
-    /// A request that has not been tried yet.
+    /// Creates the state of a request without attempts; all failed attempts are charged.
     pub fn new(policy: &document::Retry, repeat: Repeat, deadline: Deadline, tree: Tree) -> Retry {
         Retry::counting(Counted::All, policy, repeat, deadline, tree)
     }
 
-    /// A request of which `counted` attempts count.
+    /// Creates the state of a request without attempts; the failed attempts in `counted` are charged.
     pub fn counting(
         counted: Counted,
         policy: &document::Retry,
@@ -253,19 +250,19 @@
             repeat,
             deadline,
             tree,
-            left: policy.attempts.saturating_sub(1),
-            pauses: 0,
+            attempts_left: policy.attempts.saturating_sub(1),
+            backoffs: 0,
             counted,
-            hops: 0,
+            node_refusals: 0,
         }
     }
 
-    /// The call tree to send along with the next attempt.
+    /// Returns the call tree to send along with the next attempt.
     pub fn attempt(&mut self) -> Tree {
         self.tree.split()
     }
 
-    /// Decides what to do after a failed attempt and pays for the retry.
+    /// Decides on the next step after a failed attempt and charges the retry.
     pub fn next(
         &mut self,
         now: Ms,
@@ -278,18 +275,18 @@
             && let Failure::NotRun(refusal) = failure
             && refusal.reason != Reason::Shed
         {
-            return self.hop(refusal, untried);
+            return self.next_node(refusal, untried);
         }
         let Some(hint) = self.hint(failure) else {
             return Next::GiveUp(GiveUp::Final);
         };
-        if self.left == 0 || self.tree.retries == 0 {
+        if self.attempts_left == 0 || self.tree.retries == 0 {
             return Next::GiveUp(GiveUp::Attempts);
         }
         let after = match (untried, hint) {
             (Untried::Some, Hint::Elsewhere(_)) => 0,
             (Untried::None, Hint::Elsewhere(after)) | (_, Hint::Later(after)) => {
-                after.max(self.pause(rng))
+                after.max(self.backoff(rng))
             }
         };
         if after >= self.deadline.left(now) {
@@ -298,28 +295,27 @@
         if !budget.spend(now) {
             return Next::GiveUp(GiveUp::Budget);
         }
-        self.left -= 1;
+        self.attempts_left -= 1;
         self.tree.retries -= 1;
         Next::Retry { after }
     }
 
-    /// Moves on after a refusal that cost no upstream anything.
-    fn hop(&mut self, refusal: Refusal, untried: Untried) -> Next {
+    /// Decides on the next step after a refusal by a node, which costs the upstreams nothing.
+    fn next_node(&mut self, refusal: Refusal, untried: Untried) -> Next {
         let elsewhere = refusal.reason.remedy() == Remedy::Elsewhere;
         if !elsewhere || untried == Untried::None {
             return Next::GiveUp(GiveUp::Final);
         }
-        self.hops += 1;
-        match self.hops < HOPS_MAX {
+        self.node_refusals += 1;
+        match self.node_refusals < NODE_REFUSALS_MAX {
             true => Next::Retry { after: 0 },
             false => Next::GiveUp(GiveUp::Attempts),
         }
     }
 
-    /// Where and when a retry is allowed, if at all.
+    /// Returns where and when a retry is allowed, if at all.
     ///
-    /// A request that may have run is only repeated if it is idempotent: otherwise a signature whose
-    /// answer was lost would be signed twice.
+    /// A request that may have run is only repeated if it is idempotent, so that nothing is executed twice.
     fn hint(&self, failure: Failure) -> Option<Hint> {
         match failure {
             Failure::Unknown if self.repeat == Repeat::Idempotent => Some(Hint::Elsewhere(0)),
@@ -333,16 +329,16 @@
         }
     }
 
-    /// Full jitter, doubling.
-    fn pause(&mut self, rng: &mut impl Rng) -> u64 {
-        let (first, longest) = BACKOFF;
-        let bound = (first << self.pauses.min(10)).min(longest);
-        self.pauses += 1;
+    /// Returns the next delay: exponential back-off with full jitter.
+    fn backoff(&mut self, rng: &mut impl Rng) -> u64 {
+        let (first, longest) = BACKOFF_MS;
+        let bound = (first << self.backoffs.min(10)).min(longest);
+        self.backoffs += 1;
         rng.random_range(1..=bound)
     }
 }
 
-/// Where a retry may go; the times are the refusal's hint in ms.
+/// Endpoints that a retry may use: any other one, or any one after the delay, in ms.
 enum Hint {
     Elsewhere(u64),
     Later(u64),
--- a/crates/kernel/src/sampling.rs
+++ b/crates/kernel/src/sampling.rs
@@ -1,37 +1,36 @@
-//! Which log lines on requests are written, when there are more than anybody reads.
+//! Rate limit for the log lines of requests.
 //!
-//! Under overload thousands of requests a second are refused; a line for each would take more time than the
-//! refusal. Failures go first, successes are sampled, both are bounded by a rate, and each line written tells how
-//! many of its kind were left out since the one before.
+//! Failures and successes have separate limits. Each line that is written states how many of its kind were omitted since
+//! the previous one.
 
 use crate::clock::Ms;
 
-/// Most lines a second on requests that were not served: about a fortieth of a core at some 40 us a line.
+/// Maximum number of lines per second for requests that were not served.
 pub const FAILURES_MAX: u32 = 40;
-/// Most lines a second on requests that were served: enough to see what is usual.
+/// Maximum number of lines per second for requests that were served.
 pub const SUCCESSES_MAX: u32 = 2;
 /// Length of a window, in ms.
 const WINDOW_MS: u64 = 1_000;
 
-/// Kinds of lines, each with a rate of its own.
+/// Kind of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// The request was not served.
     Failure,
-    /// It was.
+    /// The request was served.
     Success,
 }
 
-/// Whether a line is written.
+/// Decision on a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Yes; so many of its kind were left out since the last one that was.
+    /// The line is written; `omitted` lines of its kind were left out since the last one.
     Write { omitted: u32 },
-    /// No.
+    /// The line is omitted.
     Omit,
 }
 
-/// Bounds the lines of both kinds.
+/// Rate limiter for the lines of both kinds.
 #[derive(Debug, Default)]
 pub struct Sampler {
     failures: Window,
@@ -40,13 +39,13 @@
 
 #[derive(Debug, Default)]
 struct Window {
-    since: Ms,
+    start: Ms,
     written: u32,
     omitted: u32,
 }
 
 impl Sampler {
-    /// Decides on one line.
+    /// Decides whether one line is written.
     pub fn admit(&mut self, now: Ms, kind: Kind) -> Verdict {
         match kind {
             Kind::Failure => self.failures.admit(now, FAILURES_MAX),
@@ -57,8 +56,8 @@
 
 impl Window {
     fn admit(&mut self, now: Ms, max: u32) -> Verdict {
-        if now.since(self.since) >= WINDOW_MS {
-            self.since = now;
+        if now.since(self.start) >= WINDOW_MS {
+            self.start = now;
             self.written = 0;
         }
         if self.written >= max {
--- a/crates/kernel/tests/admission.rs
+++ b/crates/kernel/tests/admission.rs
@@ -69,7 +69,7 @@
             Step::Done(_) => {}
             Step::Cancel => {
                 if let Some((ticket, _)) = self.waiting.pop_first() {
-                    assert_eq!(self.admission.cancel(ticket), Cancel::Forgotten);
+                    assert_eq!(self.admission.cancel(ticket), Cancel::Removed);
                     assert_eq!(self.admission.cancel(ticket), Cancel::Answered);
                 }
             }
--- a/crates/kernel/tests/connections.rs
+++ b/crates/kernel/tests/connections.rs
@@ -4,7 +4,7 @@
 
 use laburnum_kernel::{
     Ms,
-    connections::{Connections, Entry, IDLE_MIN, Key},
+    connections::{Connections, Entry, IDLE_MIN_MS, Key},
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -66,7 +66,7 @@
     let second = open(&mut connections, 1);
     connections.begin(first);
     connections.end(first, Ms(500));
-    let Entry::Replace { new, idle } = connections.enter(Ms(1 + IDLE_MIN)) else {
+    let Entry::Replace { new, idle } = connections.enter(Ms(1 + IDLE_MIN_MS)) else {
         panic!("no place");
     };
     assert_eq!(idle, second);
@@ -81,9 +81,9 @@
     let busy = open(&mut connections, 0);
     connections.begin(busy);
     open(&mut connections, 5_000);
-    assert_eq!(connections.enter(Ms(4_999 + IDLE_MIN)), Entry::Full);
+    assert_eq!(connections.enter(Ms(4_999 + IDLE_MIN_MS)), Entry::Full);
     assert!(matches!(
-        connections.enter(Ms(5_000 + IDLE_MIN)),
+        connections.enter(Ms(5_000 + IDLE_MIN_MS)),
         Entry::Replace { .. }
     ));
 }
@@ -94,14 +94,14 @@
 fn each_connection_gives_way_once() {
     let mut connections = Connections::new(1);
     let only = open(&mut connections, 0);
-    let Entry::Replace { new, idle } = connections.enter(Ms(IDLE_MIN)) else {
+    let Entry::Replace { new, idle } = connections.enter(Ms(IDLE_MIN_MS)) else {
         panic!("no place");
     };
     assert_eq!(idle, only);
-    assert_eq!(connections.enter(Ms(IDLE_MIN)), Entry::Full);
+    assert_eq!(connections.enter(Ms(IDLE_MIN_MS)), Entry::Full);
     connections.leave(only);
     connections.leave(new);
-    open(&mut connections, IDLE_MIN);
+    open(&mut connections, IDLE_MIN_MS);
 }
 
 /// A request may outlive its connection. Its end must not count for the next connection in the same slot.
--- a/crates/kernel/tests/guard.rs
+++ b/crates/kernel/tests/guard.rs
@@ -6,7 +6,7 @@
 use claims::Fleet;
 use laburnum_kernel::{
     Call, Reply,
-    guard::{self, Fingerprint, HOLD_MS, PRINTS_MAX},
+    guard::{self, Fingerprint, PRINTS_MAX, QUARANTINE_MS},
 };
 use test_case::test_case;
 
@@ -146,7 +146,7 @@
     let mut fleet = Fleet::new(3);
     crash(&mut fleet, 0, &[CULPRIT, 1]);
     crash(&mut fleet, 1, &[CULPRIT]);
-    fleet.run(HOLD_MS + 10_000);
+    fleet.run(QUARANTINE_MS + 10_000);
     held_everywhere(&fleet, &[]);
     crash(&mut fleet, 1, &[CULPRIT, 1]);
     held_everywhere(&fleet, &[]);
--- a/crates/kernel/tests/ranks.rs
+++ b/crates/kernel/tests/ranks.rs
@@ -5,7 +5,7 @@
     admission::{
         Finish, Offer, Permit, Ticket, Wake,
         kinds::Kind,
-        ranks::{Order, Outlook, Queue, RANKS, Ranks, STARVED_MS},
+        ranks::{Order, Outlook, Queue, RANKS, Ranks, STARVATION_MS},
     },
     members::Phase,
     refusal::{Reason, Refusal},
@@ -307,7 +307,7 @@
     assert!(served * 100 > tallies[0].asked * 95, "calls: {tallies:?}");
 }
 
-/// Urgent work alone fills the slots for good. The least urgent class still gets a start every [`STARVED_MS`], so its
+/// Urgent work alone fills the slots for good. The least urgent class still gets a start every [`STARVATION_MS`], so its
 /// callers are served now and then rather than never.
 #[test]
 fn least_urgent_class_is_never_shut_out() {
@@ -328,7 +328,7 @@
         },
     ];
     let tallies = simulate(2, &classes, 60);
-    let least = 60_000 / STARVED_MS as u32 / 2;
+    let least = 60_000 / STARVATION_MS as u32 / 2;
     let served = tallies[1].timely + tallies[1].late;
     assert!(served > least, "{:?}", tallies[1]);
 }
