--- a/crates/kernel/tests/admission.rs
+++ b/crates/kernel/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: every order of events up to a bound, and the stories of overload.
+//! Admission control: all event orders up to a length, and overload.
 
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
     Slots(u16),
 }
 
-/// Keeps what the caller of [`Admission`] holds and checks every answer against it.
+/// Tracks the permits and tickets of the caller of [`Admission`] and checks every answer against them.
 struct Model {
     admission: Admission,
     now: Ms,
@@ -95,10 +95,10 @@
             Offer::Run(permit) => self.run(permit),
             Offer::Wait(ticket) => {
                 let before = self.waiting.insert(ticket, request.deadline);
-                assert_eq!(before, None, "the ticket was given twice");
+                assert_eq!(before, None, "the ticket was issued twice");
             }
             Offer::Refuse(refusal) if self.drained => assert_eq!(refusal.reason, Reason::Draining),
-            Offer::Refuse(_) => assert!(!self.permits.is_empty(), "refused while nothing runs"),
+            Offer::Refuse(_) => assert!(!self.permits.is_empty(), "refused while no request runs"),
         }
     }
 
@@ -107,7 +107,7 @@
             match wake {
                 Wake::Run(ticket, permit) => {
                     let deadline = self.waiting.remove(&ticket).expect("answered once");
-                    assert!(deadline > self.now, "expired work was run");
+                    assert!(deadline > self.now, "an expired request was run");
                     self.run(permit);
                 }
                 Wake::Refuse(ticket, _) => {
@@ -118,9 +118,12 @@
     }
 
     fn run(&mut self, permit: Permit) {
-        assert!(!self.drained, "work was run while draining");
+        assert!(!self.drained, "a request was run while draining");
         self.permits.push(permit);
-        assert!(self.permits.len() <= self.slots, "more running than slots");
+        assert!(
+            self.permits.len() <= self.slots,
+            "more requests run than slots"
+        );
     }
 
     fn check(&self) {
@@ -131,19 +134,19 @@
         assert!(load.limit >= 1);
         assert!(
             load.waiting == 0 || load.running >= load.limit,
-            "a slot is free while foreground work waits"
+            "a slot is free while a foreground request waits"
         );
         assert!(
             self.waiting.is_empty() || !self.permits.is_empty(),
-            "work waits while nothing runs"
+            "requests wait while none runs"
         );
         assert!(
             !self.drained || self.waiting.is_empty(),
-            "work waits while draining"
+            "requests wait while draining"
         );
     }
 
-    /// Lets everything end: no permit and no ticket may be left over.
+    /// Ends all requests and checks that no permit and no ticket is left.
     fn finish(&mut self) {
         while !self.permits.is_empty() {
             self.step(Step::Done(Finish::Answered));
@@ -153,7 +156,7 @@
     }
 }
 
-fn each_sequence(steps: &[Step], length: u32, slots: u16) {
+fn run_sequences(steps: &[Step], length: u32, slots: u16) {
     for code in 0..steps.len().pow(length) {
         let mut model = Model::new(slots);
         let mut rest = code;
@@ -165,12 +168,11 @@
     }
 }
 
-/// The caller sees a request hang or run twice, or the upstream sees more work than it has slots.
-/// Offers, answers, cancellations and expiry cross in every order. A ticket answered twice or never,
-/// or a permit lost, would do it; so all orders of up to seven events are tried.
+/// Guards against requests answered twice or never, lost permits and more running requests than slots, over all orders
+/// of seven events.
 #[test_case(1; "one slot")]
 #[test_case(2; "two slots")]
-fn every_order_of_work(slots: u16) {
+fn every_event_order_answers_each_request_once(slots: u16) {
     let steps = [
         Step::Offer(Class::Interactive, 4),
         Step::Offer(Class::Interactive, 60),
@@ -179,15 +181,14 @@
         Step::Cancel,
         Step::Wait(5),
     ];
-    each_sequence(&steps, 7, slots);
+    run_sequences(&steps, 7, slots);
 }
 
-/// The caller of a draining upstream sees its waiting request held back, or run after the drain began.
-/// The drain, a change of slots and a shed request fall between offers and answers in every order.
-/// All waiting work must be refused at the moment of the drain; what runs must still end.
+/// Guards against requests that wait or start after the drain began, over all orders of drains, slot changes, shed
+/// requests, offers and answers.
 #[test_case(1; "one slot")]
 #[test_case(2; "two slots")]
-fn every_order_of_change(slots: u16) {
+fn every_event_order_with_drain_and_slot_changes(slots: u16) {
     let steps = [
         Step::Offer(Class::Exact, 60),
         Step::Offer(Class::Background, 60),
@@ -197,10 +198,10 @@
         Step::Drain,
         Step::Slots(1),
     ];
-    each_sequence(&steps, 6, slots);
+    run_sequences(&steps, 6, slots);
 }
 
-/// Runs of each class while every class always has work waiting, each run `service` ms long.
+/// Returns the number of requests of each class that run, `service` ms each, while all classes have requests waiting.
 fn saturate(classes: &[Class], slots: u16, service: u64, time: u64) -> BTreeMap<Class, u64> {
     let mut admission = ready(slots);
     let mut running: Vec<(Ms, Class, Permit)> = Vec::new();
@@ -240,9 +241,7 @@
     runs
 }
 
-/// Families see drafts open slowly while archive lookups flood, or lookups never finish.
-/// Both classes always have work waiting. Without a share, background work gets either as many
-/// slots as it asks for or none at all.
+/// Guards against background work that gets all slots or none while both classes have requests waiting.
 #[test_case(1)]
 #[test_case(6)]
 #[test_case(12)]
@@ -253,17 +252,17 @@
     assert!((0.05..=0.20).contains(&share), "background got {share}");
 }
 
-/// A filing waits behind a flood of drafts. Exact work has its own share, so it goes on.
+/// Guards against exact requests that starve behind a flood of interactive ones.
 #[test]
-fn exact_work_is_not_crowded_out() {
+fn exact_work_keeps_its_share() {
     let runs = saturate(&[Class::Interactive, Class::Exact], 6, 20, 20_000);
     let share = runs[&Class::Exact] as f64 / runs.values().sum::<u64>() as f64;
     assert!((0.25..=0.45).contains(&share), "exact work got {share}");
 }
 
-/// Archive lookups alone use nearly the whole upstream: a share is no cap while nobody else waits.
+/// Guards against a share that caps background work while no other class waits.
 #[test]
-fn background_alone_uses_the_upstream() {
+fn background_alone_uses_most_slots() {
     let runs = saturate(&[Class::Background], 6, 20, 10_000);
     let most = 6 * 10_000 / 20;
     assert!(
@@ -272,10 +271,9 @@
     );
 }
 
-/// A mediator's draft waits for a lookup to end though slots were free a moment ago. Lookups arrived
-/// first and took every slot. One slot always stays free of background work.
+/// Guards against background requests that take every slot before an interactive request arrives.
 #[test]
-fn background_leaves_a_slot() {
+fn background_leaves_one_slot_free() {
     let mut admission = ready(6);
     let now = Ms(1_000);
     for _ in 0..10 {
@@ -286,8 +284,8 @@
     assert!(matches!(draft, Offer::Run(_)), "{draft:?}");
 }
 
-/// Teaches `admission` a service time of `service` ms.
-fn teach(admission: &mut Admission, now: Ms, service: u64) -> Ms {
+/// Runs one request of `service` ms, a service time sample, and returns the time of its end.
+fn run_sample(admission: &mut Admission, now: Ms, service: u64) -> Ms {
     let permit = run(admission, now);
     let end = now + service;
     admission.done(end, permit, Finish::Answered, &mut Vec::new());
@@ -301,15 +299,14 @@
     }
 }
 
-/// A caller with 50 ms left waits in vain for a request that takes 100 ms. It must learn at once, so
-/// that its own caller still has time.
+/// Guards against requests that wait although they can't be answered before their deadline.
 #[test_case(50, Some(Reason::Expired); "less left than the service takes")]
 #[test_case(0, Some(Reason::Expired); "nothing left")]
 #[test_case(150, Some(Reason::Overloaded); "time to run but not to wait")]
 #[test_case(500, None; "time for both")]
-fn hopeless_work_is_refused_at_once(left: u64, expected: Option<Reason>) {
+fn unservable_request_is_refused_at_once(left: u64, expected: Option<Reason>) {
     let mut admission = ready(1);
-    let now = teach(&mut admission, Ms(1_000), 100);
+    let now = run_sample(&mut admission, Ms(1_000), 100);
     let _running = run(&mut admission, now);
     let offer = admission.offer(now, request(Class::Interactive, now + left));
     match (offer, expected) {
@@ -322,12 +319,11 @@
     }
 }
 
-/// After one answer that took ten seconds every caller is refused for ever. The estimate exceeds all
-/// deadlines, so nothing runs that could lower it. One at a time may run whatever the estimate says.
+/// Guards against a service time estimate above all deadlines that refuses the class forever.
 #[test]
-fn a_slow_answer_does_not_lock_the_class_out() {
+fn slow_answer_does_not_block_its_class() {
     let mut admission = ready(4);
-    let mut now = teach(&mut admission, Ms(1_000), 10_000);
+    let mut now = run_sample(&mut admission, Ms(1_000), 10_000);
     for _ in 0..100 {
         let offer = admission.offer(now, request(Class::Interactive, now + 1_000));
         let Offer::Run(permit) = offer else {
@@ -341,14 +337,13 @@
     assert!(matches!(second, Offer::Run(_)), "{second:?}");
 }
 
-/// A caller whose request waits learns only near its deadline that nothing came of it. The upstream
-/// lost slots after the request was queued. Waiting work is looked at again and refused early.
+/// Guards against requests that wait until their deadline after the upstream lost slots.
 #[test]
-fn waiting_work_that_lost_its_chance_is_refused_early() {
+fn unservable_waiting_request_is_refused_early() {
     let mut admission = ready(4);
     let mut now = Ms(1_000);
     for _ in 0..50 {
-        now = teach(&mut admission, now, 100);
+        now = run_sample(&mut admission, now, 100);
     }
     let _running: Vec<Permit> = (0..4).map(|_| run(&mut admission, now)).collect();
     let deadline = now + 500;
@@ -364,8 +359,7 @@
     assert!(!wakes.is_empty() && wakes.iter().all(early), "{wakes:?}");
 }
 
-/// An upstream announces more slots than it can use and sheds. The limit falls while it sheds and
-/// comes back when it answers.
+/// Guards against a limit that stays high while the upstream sheds load, or low after it recovered.
 #[test]
 fn shed_requests_lower_the_limit() {
     let mut admission = ready(12);
@@ -377,17 +371,17 @@
     }
     let low = admission.load().limit;
     for _ in 0..500 {
-        now = teach(&mut admission, now, 20);
+        now = run_sample(&mut admission, now, 20);
     }
     assert!(low <= 3, "the limit stayed at {low}");
     assert_eq!(admission.load().limit, 12);
 }
 
-/// The class's queue is full: the newest is refused with a hint, and those before it are kept.
+/// Guards against a queue that grows beyond its limit or drops earlier requests.
 #[test]
-fn a_full_queue_refuses_with_a_hint() {
+fn full_queue_refuses_the_newest_request() {
     let mut admission = ready(1);
-    let now = teach(&mut admission, Ms(1_000), 10);
+    let now = run_sample(&mut admission, Ms(1_000), 10);
     let _running = run(&mut admission, now);
     let offers: Vec<Offer> = (0..65)
         .map(|_| admission.offer(now, request(Class::Background, now + 600_000)))
@@ -400,11 +394,11 @@
     assert_eq!(admission.waiting(), 64);
 }
 
-/// A document shortens the queue while work waits: what waits keeps its place, what comes is refused.
+/// Guards against waiting requests that are dropped when the queue limit is lowered.
 #[test]
-fn a_shorter_queue_keeps_what_waits() {
+fn shorter_queue_keeps_waiting_requests() {
     let mut admission = ready(1);
-    let now = teach(&mut admission, Ms(1_000), 10);
+    let now = run_sample(&mut admission, Ms(1_000), 10);
     let _running = run(&mut admission, now);
     let mut offer = || admission.offer(now, request(Class::Background, now + 600_000));
     let waits: Vec<Offer> = (0..5).map(|_| offer()).collect();
@@ -418,7 +412,7 @@
 #[test_case(Phase::Warming, Reason::NotReady)]
 #[test_case(Phase::Draining, Reason::Draining)]
 #[test_case(Phase::Gone, Reason::Draining)]
-fn only_a_ready_upstream_runs_work(phase: Phase, reason: Reason) {
+fn only_ready_upstream_runs_requests(phase: Phase, reason: Reason) {
     let mut admission = ready(4);
     admission.set_phase(Ms(1_000), phase, &mut Vec::new());
     let offer = admission.offer(Ms(1_000), request(Class::Exact, Ms(9_000)));
@@ -429,7 +423,7 @@
 }
 
 #[test]
-fn reasons_keep_their_names() {
+fn reason_names_round_trip() {
     for reason in REASONS {
         assert_eq!(reason.to_string().parse(), Ok(reason));
     }
@@ -442,7 +436,7 @@
 #[test_case("3/-1/6", None; "negative")]
 #[test_case("3/70000/6", None; "too large")]
 #[test_case("", None; "empty")]
-fn load_travels_as_text(text: &str, expected: Option<Load>) {
+fn load_text_round_trips(text: &str, expected: Option<Load>) {
     let load = text.parse::<Load>().ok();
     assert_eq!(load, expected);
     if let Some(load) = load {
--- a/crates/kernel/tests/connections.rs
+++ b/crates/kernel/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections at one socket, under the loads that fill it.
+//! Connections of one socket at and below its maximum.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Opens a connection that nobody has to make room for.
+/// Opens a connection while the maximum is not reached.
 fn open(connections: &mut Connections, now: u64) -> Key {
     match connections.enter(Ms(now)) {
         Entry::Open(key) => key,
@@ -17,14 +17,13 @@
     }
 }
 
-/// A service keeps a third of its upstreams: its callers are refused, try again on new connections a hundred times a
-/// second, and leave the old ones open for 20 s. Those would fill the places in ten seconds and shut out everybody
-/// from then on. Each new connection is served, and no connection with a request in progress is given up for it.
+/// Guards against rejected connections while idle ones fill the socket: refused callers open 100 connections a second
+/// and leave them open for 20 s. Busy connections must not be replaced.
 #[test]
-fn refused_callers_shut_nobody_out() {
-    const PLACES: usize = 1_024;
+fn refused_callers_do_not_block_new_connections() {
+    const CAPACITY: usize = 1_024;
     let mut rng = ChaCha8Rng::seed_from_u64(11);
-    let mut connections = Connections::new(PLACES);
+    let mut connections = Connections::new(CAPACITY);
     let mut busy: Vec<(u64, Key)> = Vec::new();
     let mut idle: VecDeque<(u64, Key)> = VecDeque::new();
     let mut replaced = 0;
@@ -34,12 +33,15 @@
                 Entry::Open(key) => key,
                 Entry::Replace { new, idle: old } => {
                     replaced += 1;
-                    assert!(busy.iter().all(|it| it.1 != old), "a request was given up");
+                    assert!(
+                        busy.iter().all(|it| it.1 != old),
+                        "a busy connection was replaced"
+                    );
                     connections.leave(old);
                     idle.retain(|it| it.1 != old);
                     new
                 }
-                Entry::Full => panic!("shut out after {now} ms"),
+                Entry::Full => panic!("rejected after {now} ms"),
             };
             connections.begin(key);
             busy.push((now + rng.random_range(1..200), key));
@@ -54,29 +56,31 @@
         }
         let gauges = connections.gauges(Ms(now));
         assert_eq!((gauges.busy, gauges.idle), (busy.len(), idle.len()));
-        assert!(busy.len() + idle.len() <= PLACES);
+        assert!(busy.len() + idle.len() <= CAPACITY);
     }
-    assert!(replaced > 1_000, "the places never filled: {replaced}");
+    assert!(
+        replaced > 1_000,
+        "the maximum was never reached: {replaced}"
+    );
 }
 
 #[test]
-fn longest_idle_connection_gives_way() {
+fn longest_idle_connection_is_replaced() {
     let mut connections = Connections::new(2);
     let first = open(&mut connections, 0);
     let second = open(&mut connections, 1);
     connections.begin(first);
     connections.end(first, Ms(500));
     let Entry::Replace { new, idle } = connections.enter(Ms(1 + IDLE_MIN_MS)) else {
-        panic!("no place");
+        panic!("expected a replacement");
     };
     assert_eq!(idle, second);
     assert_ne!(new, second);
 }
 
-/// A connection whose request is in progress keeps its place, and so does one that was opened or used a moment ago: its
-/// caller is about to send.
+/// Guards against the replacement of connections that are busy or were used a moment ago.
 #[test]
-fn busy_and_fresh_connections_keep_their_places() {
+fn busy_and_recent_connections_are_kept() {
     let mut connections = Connections::new(2);
     let busy = open(&mut connections, 0);
     connections.begin(busy);
@@ -88,14 +92,13 @@
     ));
 }
 
-/// A connection that was told to end may take a moment. Each gives way to one new connection only, or a burst would
-/// open many more than there are places.
+/// Guards against several new connections in place of one that is still closing.
 #[test]
-fn each_connection_gives_way_once() {
+fn each_connection_is_replaced_once() {
     let mut connections = Connections::new(1);
     let only = open(&mut connections, 0);
     let Entry::Replace { new, idle } = connections.enter(Ms(IDLE_MIN_MS)) else {
-        panic!("no place");
+        panic!("expected a replacement");
     };
     assert_eq!(idle, only);
     assert_eq!(connections.enter(Ms(IDLE_MIN_MS)), Entry::Full);
@@ -104,9 +107,9 @@
     open(&mut connections, IDLE_MIN_MS);
 }
 
-/// A request may outlive its connection. Its end must not count for the next connection in the same slot.
+/// Guards against the end of a request that counts for a later connection in the same slot.
 #[test]
-fn end_of_a_request_whose_connection_is_gone_counts_for_nobody() {
+fn end_on_a_closed_connection_is_ignored() {
     let mut connections = Connections::new(1);
     let first = open(&mut connections, 0);
     connections.begin(first);
--- a/crates/kernel/tests/drain.rs
+++ b/crates/kernel/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving.
+//! Drain of a node: notice to the others, wait for requests, exit.
 
 mod common;
 
@@ -13,10 +13,9 @@
 
 const ZONES: [&str; 64] = ["a"; 64];
 
-/// Node 7 is told to stop. Within 2 s every other node sees it drain: urgent news is pushed by all who
-/// hear it, not only carried by probes. It waits for its requests, then leaves everywhere.
+/// Guards against a drain that spreads by probes only and does not reach all nodes within 2 s.
 #[test]
-fn a_drain_is_seen_everywhere_within_two_seconds() {
+fn drain_reaches_every_node_within_two_seconds() {
     for seed in 0..8 {
         let mut net = Net::settled(seed, &ZONES);
         net.step(id(7), Event::Stop);
@@ -29,12 +28,10 @@
     }
 }
 
-/// Callers' requests go to a host whose upstream has left. A fleet starts together and each node tells much of the
-/// others, until it may send no more news for a while. A node that is stopped then has nothing left to tell its own
-/// leaving by, and is gone before it could. Its own leaving does not count against what it may send.
+/// Guards against a node that can't announce its own leave because it used up its quota of updates on others.
 #[test]
-fn a_node_that_told_much_of_others_still_tells_that_it_leaves() {
-    let mut unheard = Vec::new();
+fn leave_notice_ignores_the_update_quota() {
+    let mut missed = Vec::new();
     for seed in 0..8 {
         let mut net = Net::new(seed);
         for (number, zone) in ZONES.iter().enumerate() {
@@ -46,13 +43,13 @@
             net.step(id(leaving), Event::Idle);
         }
         net.run(2_000);
-        unheard.extend((7..15).filter(|it| net.phases(*it) != [None].into()));
+        missed.extend((7..15).filter(|it| net.phases(*it) != [None].into()));
     }
-    assert!(unheard.is_empty(), "{unheard:?}");
+    assert!(missed.is_empty(), "{missed:?}");
 }
 
 #[test]
-fn a_draining_node_holds_no_role() {
+fn draining_node_holds_no_role() {
     let mut net = Net::settled(20, &ZONES[..6]);
     net.step(id(3), Event::Stop);
     net.run(2_000);
@@ -63,9 +60,9 @@
     }
 }
 
-/// A request in progress holds the exit; one that never ends holds it only until the grace is over.
+/// Guards against an exit before requests end, and against one that waits longer than the grace period.
 #[test]
-fn requests_in_progress_hold_the_exit_until_the_grace_is_over() {
+fn requests_delay_the_exit_up_to_the_grace() {
     let mut net = Net::settled(21, &ZONES[..6]);
     net.step(id(3), Event::Stop);
     net.run(GRACE_MS - 1_000);
@@ -74,7 +71,7 @@
     assert!(net.exited.contains(&id(3)));
 }
 
-/// Node 3 gets an upstream, as if it had announced itself.
+/// Announces an upstream to node 3.
 fn serve(net: &mut Net) {
     let announced = UpstreamEvent::Announced {
         service: "desk".parse().expect("a name"),
@@ -85,7 +82,7 @@
 }
 
 #[test]
-fn an_idle_node_still_waits_until_entries_have_heard() {
+fn idle_node_waits_for_the_notice_period() {
     let mut net = Net::settled(22, &ZONES[..6]);
     serve(&mut net);
     net.step(id(3), Event::Stop);
@@ -96,10 +93,9 @@
     assert!(net.exited.contains(&id(3)));
 }
 
-/// An upstream is withdrawn and its node stops right after. Entries that have not heard of the withdrawal
-/// still send requests, so the node stays to refuse them.
+/// Guards against a closed port for entries that have not received the withdrawal of an upstream yet.
 #[test]
-fn a_node_whose_upstream_just_left_still_gives_notice() {
+fn node_with_recent_upstream_gives_notice() {
     let mut net = Net::settled(23, &ZONES[..6]);
     serve(&mut net);
     net.run(1_000);
@@ -112,9 +108,9 @@
     assert!(net.exited.contains(&id(3)));
 }
 
-/// No entry sends anything to a node without an upstream: it leaves at once, and the others still hear of it.
+/// Guards against a needless wait of a node without an upstream, and against an exit that the others do not receive.
 #[test]
-fn a_node_without_an_upstream_leaves_at_once() {
+fn node_without_upstream_leaves_at_once() {
     let mut net = Net::settled(24, &ZONES);
     net.step(id(3), Event::Stop);
     net.step(id(3), Event::Idle);
@@ -125,7 +121,7 @@
 }
 
 #[test]
-fn the_last_node_leaves_at_once() {
+fn last_node_leaves_at_once() {
     let mut net = Net::settled(25, &ZONES[..1]);
     net.step(id(0), Event::Stop);
     net.step(id(0), Event::Idle);
@@ -133,13 +129,12 @@
     assert!(net.exited.contains(&id(0)));
 }
 
-/// The outcome of a filing cannot be kept while the node is cut off. A node that left now would make the claim
-/// one of unknown outcome for good, so it waits; once the outcome is kept, it leaves.
+/// Guards against the exit of a node with unsettled claims, whose outcomes would stay unknown.
 #[test]
-fn an_outcome_that_is_not_kept_holds_the_exit() {
+fn unsettled_claims_delay_the_exit() {
     let mut net = Net::settled(26, &ZONES[..6]);
     net.cut(&[3]);
-    // Some keys belong to buckets of the node itself, which it can keep without the others.
+    // Several keys, as the node can settle those in its own buckets without the others.
     for number in 0..8 {
         let settle = once::Call::Settle {
             key: Key {
@@ -161,7 +156,7 @@
     assert!(!net.exited.contains(&id(3)));
     assert_ne!(net.node(3).state().once.unsettled(), 0);
     net.heal();
-    // Far less than the grace: only a kept outcome lets it go by then.
+    // Far less than the grace period: only settled claims allow the exit by then.
     net.run(5_000);
     assert!(net.exited.contains(&id(3)));
 }
--- a/crates/kernel/tests/guard.rs
+++ b/crates/kernel/tests/guard.rs
@@ -1,4 +1,4 @@
-//! Requests that crash their upstream: what is quarantined, where, and for how long.
+//! Quarantine of requests that crash their upstream.
 
 #[path = "common/claims.rs"]
 mod claims;
@@ -35,39 +35,38 @@
     fleet.replies.get(&token).cloned()
 }
 
-/// The requests that node `idx` refuses.
+/// Returns the requests that node `idx` holds in quarantine.
 fn held(fleet: &Fleet, idx: usize) -> Vec<u64> {
     let view = fleet.kernels[idx].state().guard.quarantined();
     let known = (1..=300).map(Fingerprint);
     known.filter(|it| view.holds(*it)).map(|it| it.0).collect()
 }
 
-fn held_everywhere(fleet: &Fleet, expected: &[u64]) {
+fn assert_held_everywhere(fleet: &Fleet, expected: &[u64]) {
     for idx in 0..fleet.kernels.len() {
         assert_eq!(held(fleet, idx), expected, "node {idx}");
     }
 }
 
-// A request crashes upstreams together with whoever was there. One crash refuses nobody; in the second,
-// at another node or the same, the request that came back is the culprit, and every node refuses it.
+// Guards against a quarantine of requests that were in flight in one crash only, and against a node that does not
+// receive the quarantine after the second crash.
 #[test_case(&[(0, &[CULPRIT, 1, 2])], &[]; "one crash")]
 #[test_case(&[(0, &[CULPRIT, 1, 2]), (1, &[CULPRIT, 3])], &[CULPRIT]; "two nodes")]
 #[test_case(&[(0, &[CULPRIT, 1, 2]), (0, &[CULPRIT, 3])], &[CULPRIT]; "one node twice")]
 #[test_case(&[(0, &[1, 2]), (1, &[3, 4]), (2, &[5])], &[]; "three crashes with nothing in common")]
 #[test_case(&[(0, &[CULPRIT, CULPRIT])], &[]; "twice in flight in one crash")]
 #[test_case(&[(0, &[])], &[]; "nothing in flight")]
-fn crashes(crashes: &[(usize, &[u64])], expected: &[u64]) {
+fn two_crashes_quarantine_a_request(crashes: &[(usize, &[u64])], expected: &[u64]) {
     let mut fleet = Fleet::new(4);
     for (idx, prints) in crashes {
         crash(&mut fleet, *idx, prints);
     }
-    held_everywhere(&fleet, expected);
+    assert_held_everywhere(&fleet, expected);
 }
 
-// The upstream's death is noticed and its announcement lapses before its node tells what was in flight. The
-// crash counts all the same, and so does another node's report to a node without its upstream.
+// Guards against crashes that do not count because the upstream was withdrawn before its node reported them.
 #[test]
-fn upstream_gone_before_the_report() {
+fn crash_counts_after_upstream_withdrawal() {
     let mut fleet = Fleet::new(3);
     for idx in 0..2 {
         fleet.upstream_gone(idx);
@@ -75,24 +74,22 @@
         crash(&mut fleet, idx, &[CULPRIT, idx as u64 + 1]);
     }
     fleet.run(30_000);
-    held_everywhere(&fleet, &[CULPRIT]);
+    assert_held_everywhere(&fleet, &[CULPRIT]);
 }
 
-// A popular read is in flight in every crash of its neighbours. It ran well in between, so the crash
-// before that does not count, and it is never refused; the culprit is.
+// Guards against the quarantine of a frequent request that was in flight in several crashes but ran in between.
 #[test]
-fn survivor_is_cleared() {
+fn request_that_ran_is_cleared() {
     let mut fleet = Fleet::new(4);
     crash(&mut fleet, 0, &[CULPRIT, 1]);
     survive(&mut fleet, 2, 1);
     crash(&mut fleet, 1, &[CULPRIT, 1]);
-    held_everywhere(&fleet, &[CULPRIT]);
+    assert_held_everywhere(&fleet, &[CULPRIT]);
 }
 
-// After one crash the requests of that crash are suspects at every node of the service, so that an owner
-// can run them one at a time; a survivor is none any more.
+// Guards against suspects that are not known on all nodes, or stay suspects after they ran without a crash.
 #[test]
-fn suspects() {
+fn requests_of_one_crash_are_suspects() {
     let mut fleet = Fleet::new(3);
     crash(&mut fleet, 0, &[CULPRIT, 1]);
     survive(&mut fleet, 1, 1);
@@ -104,14 +101,13 @@
     }
 }
 
-// The service was mended and an operator lifts the quarantine at one node. It ends at every node, also at
-// one that was out of reach, whose older record must not bring the quarantine back.
+// Guards against a lifted quarantine that returns from a node that was partitioned during the lift.
 #[test]
-fn lifted_everywhere() {
+fn lift_reaches_every_node() {
     let mut fleet = Fleet::new(4);
     crash(&mut fleet, 0, &[CULPRIT]);
     crash(&mut fleet, 1, &[CULPRIT]);
-    held_everywhere(&fleet, &[CULPRIT]);
+    assert_held_everywhere(&fleet, &[CULPRIT]);
     fleet.cut.extend([(0, 3), (1, 3), (2, 3)]);
     assert_eq!(
         lift(&mut fleet, 0, CULPRIT),
@@ -121,18 +117,18 @@
     assert_eq!(held(&fleet, 3), [CULPRIT]);
     fleet.cut.clear();
     fleet.run(60_000);
-    held_everywhere(&fleet, &[]);
+    assert_held_everywhere(&fleet, &[]);
     let logged = |it: &String| it.contains("quarantine-lifted") && it.contains("author=amal");
     assert!(fleet.trace.iter().any(logged), "{:?}", fleet.trace);
-    // The crashes before the lift no longer count, later ones do.
+    // Crashes before the lift no longer count, later ones do.
     crash(&mut fleet, 0, &[CULPRIT]);
-    held_everywhere(&fleet, &[]);
+    assert_held_everywhere(&fleet, &[]);
     crash(&mut fleet, 1, &[CULPRIT]);
-    held_everywhere(&fleet, &[CULPRIT]);
+    assert_held_everywhere(&fleet, &[CULPRIT]);
 }
 
 #[test]
-fn lift_of_nothing() {
+fn lift_without_quarantine_is_absent() {
     let mut fleet = Fleet::new(2);
     assert_eq!(
         lift(&mut fleet, 0, CULPRIT),
@@ -140,42 +136,40 @@
     );
 }
 
-// A quarantine ends by itself; crashes that lie further apart than that do not add up.
+// Guards against quarantines that do not expire and against expired crashes that still count.
 #[test]
-fn expires() {
+fn quarantines_and_crashes_expire() {
     let mut fleet = Fleet::new(3);
     crash(&mut fleet, 0, &[CULPRIT, 1]);
     crash(&mut fleet, 1, &[CULPRIT]);
     fleet.run(QUARANTINE_MS + 10_000);
-    held_everywhere(&fleet, &[]);
+    assert_held_everywhere(&fleet, &[]);
     crash(&mut fleet, 1, &[CULPRIT, 1]);
-    held_everywhere(&fleet, &[]);
+    assert_held_everywhere(&fleet, &[]);
 }
 
-// The report of the first crash and the news of the quarantine are lost on the way to one node. Repair
-// brings both; a node that starts later learns of the quarantine as well.
+// Guards against crashes and quarantines that stay unknown to a node that was partitioned or started later.
 #[test]
-fn lost_news_is_repaired() {
+fn anti_entropy_repairs_lost_updates() {
     let mut fleet = Fleet::new(3);
     fleet.cut.extend([(0, 1), (0, 2), (1, 2)]);
     crash(&mut fleet, 0, &[CULPRIT, 1]);
     crash(&mut fleet, 1, &[CULPRIT, 2]);
-    held_everywhere(&fleet, &[]);
+    assert_held_everywhere(&fleet, &[]);
     fleet.cut.clear();
     fleet.run(60_000);
-    held_everywhere(&fleet, &[CULPRIT]);
+    assert_held_everywhere(&fleet, &[CULPRIT]);
     fleet.kill(2);
     fleet.run(100);
     fleet.restart(2);
     assert_eq!(held(&fleet, 2), []);
     fleet.run(60_000);
-    held_everywhere(&fleet, &[CULPRIT]);
+    assert_held_everywhere(&fleet, &[CULPRIT]);
 }
 
-// An upstream in a crash loop, or a stranger's message, names ever new requests. What a node remembers
-// stays bounded, and a crash that is said to lie far ahead is not believed.
+// Guards against memory that grows with the crashes of an upstream in a crash loop.
 #[test]
-fn bounded() {
+fn crash_memory_is_bounded() {
     let mut fleet = Fleet::new(2);
     for round in 0..400u64 {
         let first = 1_000 + round * 100;
--- a/crates/kernel/tests/hot.rs
+++ b/crates/kernel/tests/hot.rs
@@ -1,4 +1,4 @@
-//! Hot callers: the rate limit of each.
+//! Rate limit per caller.
 
 use laburnum_kernel::{
     Ms,
@@ -8,7 +8,7 @@
 };
 use test_case::test_case;
 
-/// Requests of one caller admitted over `seconds`, sent evenly at `rate` a second.
+/// Returns the number of requests admitted over `seconds` from one caller that sends `rate` per second, evenly.
 fn admitted(limiter: &mut Limiter, limit: u32, rate: u64, seconds: u64) -> u64 {
     let times = (0..rate * seconds).map(|it| Ms(it * 1_000 / rate));
     times
@@ -16,8 +16,7 @@
         .sum()
 }
 
-/// One device sends hundreds of times its share and everybody's fetches fail. Over ten seconds each
-/// caller gets its rate, and at most a second's worth more at the start.
+/// Guards against callers that exceed their rate by more than one second's worth, or get less than their rate.
 #[test_case(0, 500, 5_000..=5_000; "no limit")]
 #[test_case(30, 500, 300..=331; "far above")]
 #[test_case(30, 20, 200..=200; "below")]
@@ -28,10 +27,9 @@
     assert!(expected.contains(&count), "{count}, not {expected:?}");
 }
 
-/// A caller that sends a second's worth at once stays within its rate and must not be refused. The
-/// hint of the first refusal is when the next request would be admitted.
+/// Guards against the refusal of a burst of one second's worth, and against a wrong retry time.
 #[test]
-fn bursts_within_the_rate_pass() {
+fn bursts_within_the_rate_are_admitted() {
     let mut limiter = Limiter::default();
     let burst =
         |limiter: &mut Limiter, now| (0..10).all(|_| limiter.admit(now, 9, 10) == Verdict::Admit);
@@ -42,10 +40,9 @@
     assert!(burst(&mut limiter, Ms(1_100)));
 }
 
-/// A hot caller escapes its limit by pushing itself out of the table with thousands of other names.
-/// A new name takes the place of the fullest bucket, and the hot caller's is the emptiest.
+/// Guards against a hot caller that evicts its own bucket with requests under many other names.
 #[test]
-fn many_names_do_not_free_a_hot_caller() {
+fn new_callers_do_not_evict_a_hot_caller() {
     let mut limiter = Limiter::default();
     let mut count = 0;
     for now in (0..1_000).map(Ms) {
--- a/crates/kernel/tests/instance.rs
+++ b/crates/kernel/tests/instance.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of the upstream beside a node: late, repeated, and of another start.
+//! Heartbeats of the upstream beside a node: late, repeated, and from another start.
 
 use laburnum_kernel::{
     Ms,
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn heartbeats_of_one_instance_count_in_order() {
+fn heartbeats_of_one_instance_are_ordered() {
     let mut instances = Instances::default();
     assert_eq!(instances.heartbeat(Ms(0), &id("a"), 4), Verdict::Successor);
     assert_eq!(instances.heartbeat(Ms(10), &id("a"), 5), Verdict::Present);
@@ -33,11 +33,9 @@
     );
 }
 
-/// The upstream crashes and a new one starts at the same address. A heartbeat of the dead one, held up by the
-/// network, arrives after the new one's first. Taken at its word, every request would name the dead instance and be
-/// turned away.
+/// Guards against a delayed heartbeat of a crashed instance that replaces its successor.
 #[test]
-fn late_heartbeat_of_a_dead_instance_changes_nothing() {
+fn late_heartbeat_of_a_dead_instance_is_ignored() {
     let mut instances = Instances::default();
     instances.heartbeat(Ms(0), &id("dead"), 1);
     assert_eq!(
@@ -52,10 +50,10 @@
     );
 }
 
-/// A node that restarted knows neither instance. The living one announces itself, then the dead one's late heartbeat
-/// arrives and seems to be the newer. The living one goes on sending and is believed again.
+/// Guards against a node that keeps a dead instance after a restart, when the delayed heartbeat of the dead one arrives
+/// after that of the live one.
 #[test]
-fn living_instance_wins_over_a_late_stranger() {
+fn live_instance_recovers_after_a_late_heartbeat() {
     let mut instances = Instances::default();
     instances.heartbeat(Ms(0), &id("living"), 7);
     assert_eq!(
@@ -73,9 +71,9 @@
     );
 }
 
-/// An upstream that deregistered goes on sending for a moment, or its last heartbeat is late: it stays gone.
+/// Guards against a late heartbeat that revives a deregistered instance.
 #[test]
-fn heartbeat_after_deregistration_changes_nothing() {
+fn heartbeat_after_deregistration_is_ignored() {
     let mut instances = Instances::default();
     instances.heartbeat(Ms(0), &id("a"), 1);
     assert_eq!(instances.leave(&id("a")), Verdict::Present);
@@ -86,11 +84,10 @@
     );
 }
 
-/// An upstream crashes and starts again under the id that it had, and counts its heartbeats from one. Told from the start
-/// before only by its birth, it is taken up at once; were the count compared, nothing would go there until it passed the
-/// old one. What the start before still sends, its deregistration too, changes nothing.
+/// Guards against a restart under the same id, with sequence numbers from one, that is taken for late heartbeats of the
+/// earlier start, and against late calls of the earlier start that apply to the new one.
 #[test]
-fn upstream_that_starts_again_under_its_id_is_taken_up() {
+fn restart_under_the_same_id_is_accepted() {
     let mut instances = Instances::default();
     instances.heartbeat(Ms(0), &born("a", 1_000), 40);
     assert_eq!(
@@ -116,6 +113,6 @@
     assert_eq!(
         instances.heartbeat(later, &born("a", 12_000), 1),
         Verdict::Successor,
-        "it starts once more"
+        "another restart"
     );
 }
--- a/crates/kernel/tests/pick.rs
+++ b/crates/kernel/tests/pick.rs
@@ -1,4 +1,4 @@
-//! Pick: which endpoint an entry chooses, by what it has seen.
+//! Choice of an endpoint by the entry.
 
 use std::{
     collections::BTreeMap,
@@ -29,7 +29,7 @@
     NodeId(SocketAddr::from((Ipv4Addr::LOCALHOST, port)))
 }
 
-/// Endpoints by "region/zone"; their ports count from one.
+/// Creates endpoints from "region/zone"; their ports count from one.
 fn endpoints(places: &[&str]) -> Vec<Endpoint> {
     (1..)
         .zip(places)
@@ -59,7 +59,7 @@
     picker
 }
 
-/// Choices out of a thousand by port, with nothing in flight.
+/// Returns the number of choices out of a thousand by port.
 fn tally(picker: &Picker, now: Ms, tried: &[NodeId]) -> BTreeMap<u16, usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut tally = BTreeMap::new();
@@ -94,16 +94,15 @@
 
 #[test_case(&["cairo/nasr-hall", "cairo/nasr-hall", "cairo/maadi-hall"], &[1, 2]; "own zone first")]
 #[test_case(&["cairo/maadi-hall", "cairo/giza-hall", "pnw/pnw-a"], &[1, 2]; "own region next")]
-#[test_case(&["pnw/pnw-a", "pnw/pnw-b"], &[1, 2]; "beyond if nothing else")]
-fn near_before_far(places: &[&str], expected: &[u16]) {
+#[test_case(&["pnw/pnw-a", "pnw/pnw-b"], &[1, 2]; "other regions last")]
+fn nearer_endpoints_are_preferred(places: &[&str], expected: &[u16]) {
     let picker = picker(&endpoints(places));
     let tally = tally(&picker, Ms(10_000), &[]);
     assert_eq!(tally.keys().copied().collect::<Vec<_>>(), expected);
     assert!(tally.values().all(|it| *it > 300), "{tally:?}");
 }
 
-/// Callers in one zone queue at its only endpoint while the next zone idles. Its load exceeds its
-/// slots; the expected time there is longer than the way to the next zone.
+/// Guards against requests that queue in their zone while another zone is idle.
 #[test]
 fn load_spills_to_the_next_zone() {
     let mut picker = picker(&endpoints(&["cairo/nasr-hall", "cairo/maadi-hall"]));
@@ -116,11 +115,10 @@
     );
 }
 
-/// An entry that sends little itself overloads an endpoint that others keep busy. The load told with an
-/// answer turns it away; told long ago, it counts for nothing.
-#[test_case(10_100, 2; "told just now")]
-#[test_case(20_000, 1; "told long ago")]
-fn load_told_by_answers_ages(now: u64, expected: u16) {
+/// Guards against an entry that ignores the load that other entries cause, or relies on an old report.
+#[test_case(10_100, 2; "reported just now")]
+#[test_case(20_000, 1; "reported long ago")]
+fn reported_load_loses_weight_with_age(now: u64, expected: u16) {
     let mut picker = picker(&endpoints(&["cairo/nasr-hall", "cairo/maadi-hall"]));
     let load = Load {
         running: 6,
@@ -135,8 +133,7 @@
     );
 }
 
-/// The upstream leaves, yet requests go there and are refused. Whether the members tell it or only its
-/// own refusal does, the entry stops choosing it.
+/// Guards against requests to endpoints that are not ready.
 #[test_case(Phase::Draining)]
 #[test_case(Phase::Warming)]
 #[test_case(Phase::Gone)]
@@ -154,8 +151,8 @@
     );
 }
 
-/// The members still announce an endpoint as ready that answers nothing. Each entry learns by itself: after
-/// three failures in a row it ejects the endpoint, then lets one request at a time try it.
+/// Guards against requests to an endpoint that is announced as ready but fails: three failures eject it, then one
+/// request at a time probes it.
 #[test]
 fn failing_endpoints_are_ejected_and_probed() {
     let mut picker = picker(&endpoints(&["cairo/nasr-hall"; 4]));
@@ -165,7 +162,7 @@
     picker.started(Ms(1_001), node(1));
     assert!(
         !tally(&picker, Ms(1_002), &[]).contains_key(&1),
-        "a second probe"
+        "a second probe was sent"
     );
     picker.finished(Ms(1_010), node(1), CLASS, Outcome::Failed, None);
     assert!(
@@ -184,8 +181,7 @@
     );
 }
 
-/// A fault on the entry's own side makes every endpoint fail, and it refuses all work though upstreams are
-/// well. At most half are ejected, so the others keep being tried.
+/// Guards against the ejection of all endpoints by a fault of the entry itself: at most half are ejected.
 #[test_case(1, 1; "a single one stays")]
 #[test_case(4, 2; "half stay")]
 #[test_case(7, 4; "the larger half stays")]
@@ -197,9 +193,9 @@
     assert_eq!(tally(&picker, Ms(1), &[]).len(), stay);
 }
 
-/// A caller cancels a request to an endpoint that is being probed. That says nothing of the endpoint.
+/// Guards against a cancellation that counts as a failed probe.
 #[test]
-fn a_cancelled_probe_does_not_eject() {
+fn cancelled_probe_does_not_eject() {
     let mut picker = picker(&endpoints(&["cairo/nasr-hall"; 4]));
     fail(&mut picker, Ms(0), node(1), 3);
     picker.started(Ms(1_001), node(1));
@@ -207,10 +203,9 @@
     assert!(tally(&picker, Ms(1_011), &[]).contains_key(&1));
 }
 
-/// An overloaded endpoint refuses with a hint and the same entry sends more at once. The hint holds
-/// for the class refused: refused lookups do not turn drafts away.
+/// Guards against requests to an endpoint that just refused their class, and against holds of other classes.
 #[test]
-fn refusal_hints_are_respected_by_class() {
+fn refusal_holds_only_its_class() {
     let mut picker = picker(&endpoints(&["cairo/nasr-hall"]));
     refuse(
         &mut picker,
@@ -227,9 +222,9 @@
     assert!(matches!(choice(&picker, Ms(80), CLASS), Choice::Send(_)));
 }
 
-/// A wrong hint of an hour would take an endpoint away from an entry for good. A hint counts for a second.
+/// Guards against a refusal with a wrong retry time that holds an endpoint for an hour.
 #[test]
-fn a_hint_is_bounded() {
+fn hold_after_refusal_is_bounded() {
     let mut picker = picker(&endpoints(&["cairo/nasr-hall"]));
     refuse(
         &mut picker,
@@ -245,7 +240,7 @@
 #[test_case(Reason::Limited, false)]
 #[test_case(Reason::Expired, false)]
 #[test_case(Reason::Quarantined, false)]
-fn refusals_that_concern_the_endpoint_hold_every_class(reason: Reason, holds: bool) {
+fn phase_refusals_hold_all_classes(reason: Reason, holds: bool) {
     let mut picker = picker(&endpoints(&["cairo/nasr-hall", "cairo/nasr-hall"]));
     refuse(&mut picker, Ms(0), node(1), Refusal::new(reason));
     let Choice::Send(it) = picker.pick(
@@ -254,15 +249,15 @@
         Class::Exact,
         &[node(2)],
     ) else {
-        assert!(holds, "held for {reason}");
+        assert!(holds, "{reason} holds the endpoint");
         return;
     };
-    assert!(!holds, "{reason} did not hold {}", it.node);
+    assert!(!holds, "{reason} does not hold {}", it.node);
 }
 
-/// A retry goes back to the endpoint that just failed. What was tried is left out while others remain.
+/// Guards against retries at endpoints that were tried already.
 #[test]
-fn tried_endpoints_are_left_out() {
+fn tried_endpoints_are_skipped() {
     let picker = picker(&endpoints(&[
         "cairo/nasr-hall",
         "cairo/nasr-hall",
@@ -285,17 +280,16 @@
     assert!(matches!(none, Choice::Refuse(it) if it.reason == Reason::NoEndpoint));
 }
 
-/// A restarted upstream is given its full share at once and sheds it. Its new incarnation starts small
-/// and grows over the ramp; nothing held against the old one counts.
+/// Guards against a restarted upstream that gets its full share at once, or keeps the ejection of its predecessor.
 #[test]
-fn a_new_incarnation_starts_small() {
+fn new_incarnation_ramps_up() {
     let mut all = endpoints(&["cairo/nasr-hall"; 2]);
     let mut picker = picker(&all);
     fail(&mut picker, Ms(0), node(1), 3);
     all[0].incarnation = 2;
     picker.refresh(Ms(10), &all, RAMP);
     let share = |now: u64| {
-        let mut picker = picker_like(&all, 10);
+        let mut picker = picker_after_restart(&all, 10);
         let mut rng = ChaCha8Rng::seed_from_u64(3);
         let mut first = 0;
         for _ in 0..12 {
@@ -315,8 +309,8 @@
     );
 }
 
-/// A picker that saw the first endpoint of `all` restart at `born`.
-fn picker_like(all: &[Endpoint], born: u64) -> Picker {
+/// Creates a picker that saw the first endpoint of `all` restart at `born`.
+fn picker_after_restart(all: &[Endpoint], born: u64) -> Picker {
     let mut before = all.to_vec();
     before[0].incarnation -= 1;
     let mut picker = picker(&before);
@@ -324,10 +318,9 @@
     picker
 }
 
-/// A probe's end is never told, for its task was dropped. The endpoint must not stay shut for good: after
-/// half a minute another request may try it.
+/// Guards against an endpoint that stays ejected because the end of its probe was never recorded.
 #[test]
-fn a_lost_probe_is_given_up_on() {
+fn lost_probe_times_out() {
     let mut picker = picker(&endpoints(&["cairo/nasr-hall"; 4]));
     fail(&mut picker, Ms(0), node(1), 3);
     picker.started(Ms(1_001), node(1));
@@ -337,10 +330,9 @@
     assert_eq!(only, BTreeMap::from([(1, 1_000)]));
 }
 
-/// One upstream in three is slow and its requests drag the whole service. Its pace, measured against the
-/// mean of each class, turns most work away; some still goes there, or its recovery would go unseen.
+/// Guards against a slow endpoint that gets its full share, or that is never tried again.
 #[test]
-fn slow_endpoints_get_less() {
+fn slow_endpoints_get_fewer_requests() {
     let mut picker = picker(&endpoints(&["cairo/nasr-hall"; 3]));
     for _ in 0..50 {
         for (port, latency) in [(1, 60), (2, 20), (3, 20)] {
@@ -352,10 +344,9 @@
     assert!(later.contains_key(&1), "never tried again: {later:?}");
 }
 
-/// Hundreds of endpoints come and go under thousands of calls: what is known of the others stays, and
-/// what is known of the gone is dropped.
+/// Guards against lost statistics of the remaining endpoints when many others leave.
 #[test]
-fn the_set_changes_under_load() {
+fn endpoint_changes_keep_other_statistics() {
     let mut all = endpoints(&["cairo/nasr-hall"; 300]);
     let mut picker = picker(&all);
     fail(&mut picker, Ms(0), node(300), 3);
@@ -368,12 +359,11 @@
     assert_eq!(picker.len(), 100);
     assert!(
         !tally(&picker, Ms(900), &[]).contains_key(&300),
-        "the ejection was forgotten"
+        "the ejection was lost"
     );
 }
 
-/// The members say that the own zone's endpoint cannot be reached, as after a cut. It is the nearest and
-/// the fastest by name, yet requests go to the further one; only when that one was tried does it get one.
+/// Guards against requests to an unreachable endpoint of the own zone while a farther one is reachable.
 #[test]
 fn unreachable_endpoint_comes_last() {
     let mut endpoints = endpoints(&["cairo/nasr-hall", "cairo/giza-hall"]);
--- a/crates/kernel/tests/placement.rs
+++ b/crates/kernel/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: where requests with a goal go, and what they cost in bytes between zones.
+//! Choice of an endpoint for requests with a latency goal.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Endpoints 1 and 2 in the own zone, 3 in another.
+/// Creates a placement with endpoints 1 and 2 in its own zone and 3 in another.
 fn placement() -> Placement {
     let mut placement = Placement::new(
         id(999),
@@ -67,7 +67,7 @@
     }
 }
 
-fn told(placement: &mut Placement, number: u16, wait: u16, service: u16) {
+fn report_outlook(placement: &mut Placement, number: u16, wait: u16, service: u16) {
     let outlook = Outlook {
         free: if wait == 0 { 3 } else { 0 },
         slots: 6,
@@ -87,8 +87,8 @@
     placement.finished(NOW, id(number), Class::Background, outcome, outlook);
 }
 
-/// How often each of the endpoints 1 to 3 is chosen.
-fn drawn(placement: &Placement, tried: &[NodeId]) -> [usize; 3] {
+/// Returns how often each of the endpoints 1 to 3 is chosen.
+fn count_choices(placement: &Placement, tried: &[NodeId]) -> [usize; 3] {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut counts = [0; 3];
     for _ in 0..DRAWS {
@@ -100,11 +100,9 @@
     counts
 }
 
-/// An owner refuses a petition of 110 ms for which it has no room within its goal. Calls of 22 ms of the same priority,
-/// which it would serve, must be sent there all the same: kept away with the petition they failed the runs that made
-/// them, unasked. Petitions are kept away for the time that the owner told.
+/// Guards against the refusal of a long request that holds back short ones of another kind.
 #[test]
-fn refusal_of_one_kind_keeps_no_other_away() {
+fn refusal_of_one_kind_does_not_hold_others() {
     let (petition, call) = (Kind(7), Kind(8));
     let order = |kind| Order { kind, ..order(NOW) };
     let mut placement = placement();
@@ -119,85 +117,84 @@
     let mut choose = |now, kind| placement.place(now, &mut rng, order(kind), &[]);
     assert!(matches!(choose(NOW + 1, call), Choice::Send(_)));
     let Choice::Refuse(refused) = choose(NOW + 1, petition) else {
-        panic!("the owners have no room for it");
+        panic!("expected a refusal while the hold lasts");
     };
     assert_eq!(refused.after, 299);
     assert!(matches!(choose(NOW + 301, petition), Choice::Send(_)));
 }
 
-/// A request that crosses zones costs its caller nothing and its operator money for each byte. While somebody at home
-/// reaches the goal, none crosses, however idle the other zone is.
+/// Guards against traffic between zones while the own zone reaches the goal.
 #[test]
-fn work_stays_at_home_while_home_reaches_the_goal() {
+fn requests_stay_in_a_zone_that_reaches_the_goal() {
     let mut placement = placement();
-    told(&mut placement, 1, 40, 60);
-    told(&mut placement, 2, 40, 60);
-    told(&mut placement, 3, 0, 60);
-    let [one, two, far] = drawn(&placement, &[]);
+    report_outlook(&mut placement, 1, 40, 60);
+    report_outlook(&mut placement, 2, 40, 60);
+    report_outlook(&mut placement, 3, 0, 60);
+    let [one, two, far] = count_choices(&placement, &[]);
     assert_eq!(far, 0);
-    assert!(one > 50 && two > 50, "equals share: {one} and {two}");
+    assert!(
+        one > 50 && two > 50,
+        "equal endpoints share: {one} and {two}"
+    );
 }
 
-/// The own zone's queue is longer than the goal. A caller there would be answered late although another zone has
-/// slots to spare.
+/// Guards against late answers in the own zone while another zone has free slots.
 #[test]
-fn work_leaves_home_for_somebody_who_reaches_the_goal() {
+fn requests_leave_a_zone_that_misses_the_goal() {
     let mut placement = placement();
-    told(&mut placement, 1, 400, 60);
-    told(&mut placement, 2, 400, 60);
-    told(&mut placement, 3, 0, 60);
-    assert_eq!(drawn(&placement, &[]), [0, 0, DRAWS]);
+    report_outlook(&mut placement, 1, 400, 60);
+    report_outlook(&mut placement, 2, 400, 60);
+    report_outlook(&mut placement, 3, 0, 60);
+    assert_eq!(count_choices(&placement, &[]), [0, 0, DRAWS]);
 }
 
-/// Where every answer would be late, a hop would be paid for nothing.
+/// Guards against traffic between zones that does not reach the goal either.
 #[test]
-fn what_nobody_answers_in_time_stays_at_home() {
+fn late_requests_stay_in_their_zone() {
     let mut placement = placement();
-    told(&mut placement, 1, 400, 60);
-    told(&mut placement, 2, 400, 60);
-    told(&mut placement, 3, 400, 60);
-    assert_eq!(drawn(&placement, &[])[2], 0);
+    report_outlook(&mut placement, 1, 400, 60);
+    report_outlook(&mut placement, 2, 400, 60);
+    report_outlook(&mut placement, 3, 400, 60);
+    assert_eq!(count_choices(&placement, &[])[2], 0);
 }
 
 #[test]
-fn faster_endpoint_gets_more() {
+fn faster_endpoint_is_preferred() {
     let mut placement = placement();
-    told(&mut placement, 1, 0, 40);
-    told(&mut placement, 2, 0, 120);
-    assert_eq!(drawn(&placement, &[]), [DRAWS, 0, 0]);
+    report_outlook(&mut placement, 1, 0, 40);
+    report_outlook(&mut placement, 2, 0, 120);
+    assert_eq!(count_choices(&placement, &[]), [DRAWS, 0, 0]);
 }
 
-/// One endpoint turns half of its requests away at once. By its quick answers it looks like the fastest; without
-/// regard to its failures it would draw all work.
+/// Guards against an endpoint that attracts requests because it sheds them quickly.
 #[test]
-fn endpoint_that_turns_work_away_is_avoided() {
+fn endpoint_that_sheds_load_is_avoided() {
     let mut placement = placement();
-    told(&mut placement, 1, 0, 60);
-    told(&mut placement, 2, 0, 60);
+    report_outlook(&mut placement, 1, 0, 60);
+    report_outlook(&mut placement, 2, 0, 60);
     for _ in 0..10 {
         let refusal = Refusal::after(Reason::Shed, 0);
         finish(&mut placement, 1, Outcome::Refused(refusal), None);
     }
-    assert_eq!(drawn(&placement, &[])[0], 0);
+    assert_eq!(count_choices(&placement, &[])[0], 0);
 }
 
-/// Between two answers of an owner an entry may send it a burst. What it has sent itself counts as waiting there.
+/// Guards against a burst to one endpoint before its next outlook arrives.
 #[test]
-fn own_burst_spreads_before_the_owner_tells_of_it() {
+fn requests_since_the_outlook_count_as_waiting() {
     let mut placement = placement();
-    told(&mut placement, 1, 0, 60);
-    told(&mut placement, 2, 0, 60);
+    report_outlook(&mut placement, 1, 0, 60);
+    report_outlook(&mut placement, 2, 0, 60);
     for _ in 0..9 {
         placement.started(NOW, id(1));
     }
-    assert_eq!(drawn(&placement, &[])[0], 0);
+    assert_eq!(count_choices(&placement, &[])[0], 0);
 }
 
-/// An entry that heard of its zone's endpoints long ago takes all of them for idle. It asks two of them to run the
-/// request at once or refuse, then queues at the third; where what it heard is recent, or the zone has no more endpoints
-/// than probes, it queues at the first.
+/// Guards against queueing at an endpoint with an old outlook: two endpoints are probed first, unless the zone has no
+/// more than two.
 #[test]
-fn endpoints_not_heard_of_lately_are_probed() {
+fn endpoints_with_old_outlooks_are_probed() {
     let place = |placement: &Placement, now, tried: &[NodeId]| {
         let mut rng = ChaCha8Rng::seed_from_u64(5);
         placement.place(now, &mut rng, order(now), tried)
@@ -205,7 +202,7 @@
     let mut placement = placement();
     let zone: Vec<Endpoint> = (1..=5).map(|it| endpoint(it, "nasr")).collect();
     placement.refresh(&zone);
-    (1..=5).for_each(|it| told(&mut placement, it, 0, 60));
+    (1..=5).for_each(|it| report_outlook(&mut placement, it, 0, 60));
     assert!(matches!(place(&placement, NOW, &[]), Choice::Send(_)));
     let later = NOW + 1_000;
     let one = [id(1)];
@@ -220,24 +217,23 @@
 #[test]
 fn refused_request_goes_to_an_untried_endpoint() {
     let placement = placement();
-    assert_eq!(drawn(&placement, &[id(1), id(2)]), [0, 0, DRAWS]);
+    assert_eq!(count_choices(&placement, &[id(1), id(2)]), [0, 0, DRAWS]);
 }
 
 #[test]
-fn without_endpoints_the_caller_learns_it_at_once() {
+fn refusal_without_endpoints_is_immediate() {
     let mut placement = placement();
     placement.refresh(&[]);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     match placement.place(NOW, &mut rng, order(NOW), &[]) {
         Choice::Refuse(it) => assert_eq!(it.reason, Reason::NoEndpoint),
-        it => panic!("nobody is there: {it:?}"),
+        it => panic!("there is no endpoint: {it:?}"),
     }
 }
 
-/// Each node of a fleet of hundreds held a connection to every other, and its memory grew with the fleet. An entry sends to
-/// a bounded number of endpoints, and takes others in place of those that are lost.
+/// Guards against connections that grow with the fleet, and against lost endpoints that are not replaced.
 #[test]
-fn entry_sends_to_a_bounded_number_of_endpoints() {
+fn entry_uses_a_bounded_number_of_endpoints() {
     let mut placement = placement();
     let mut endpoints: Vec<Endpoint> = (1..=300)
         .map(|it| endpoint(it, ["nasr", "maadi", "giza"][usize::from(it) % 3]))
@@ -265,14 +261,13 @@
     assert_eq!(after.len(), NEAR_MAX + FAR_MAX);
     assert!(
         before.is_disjoint(&after),
-        "others take the place of the lost"
+        "reachable endpoints replace the unreachable ones"
     );
 }
 
-/// A host is cut off from all others, whose upstreams its entry can no longer reach. The upstream beside it could serve, though
-/// it is not among the first in the entry's order.
+/// Guards against an entry that, cut off from all other hosts, does not use the upstream on its own host.
 #[test]
-fn entry_that_is_cut_off_sends_to_its_own_host() {
+fn isolated_entry_sends_to_its_own_host() {
     let mut placement = placement();
     let mut endpoints: Vec<Endpoint> = (1..=99).map(|it| endpoint(it, "nasr")).collect();
     endpoints.push(endpoint(999, "nasr"));
--- a/crates/kernel/tests/placement_fleet.rs
+++ b/crates/kernel/tests/placement_fleet.rs
@@ -1,4 +1,4 @@
-//! Many entries and many endpoints: placement and admission together, on what entries can know.
+//! Simulation of fleets: placement and admission control together, with outlooks reported by answers only.
 
 use std::net::SocketAddr;
 
@@ -20,17 +20,17 @@
 use test_case::test_case;
 
 const START: Ms = Ms(10_000);
-/// Zones of the fleet; entries and endpoints are dealt to them in turn.
+/// Zones of the fleet, assigned to entries and endpoints in turn.
 const ZONES: [&str; 3] = ["nasr", "maadi", "giza"];
-/// Speeds of the endpoints, in turn, relative to the work's mean.
+/// Relative speeds of the endpoints, assigned in turn.
 const SPEEDS: [f64; 4] = [0.5, 1.0, 1.0, 1.5];
 const SLOTS: u16 = 6;
 const WORK_MS: f64 = 110.0;
 const GOAL_MS: u64 = 300;
 const DEADLINE_MS: u64 = 2_000;
-/// Most owners that one request asks.
+/// Maximum number of owners that one request is sent to.
 const HOPS: usize = 3;
-/// Ms from an entry to an owner and back.
+/// Round trip from an entry to an owner, in ms.
 const HOP_MS: u64 = 1;
 
 struct Request {
@@ -180,7 +180,7 @@
         match self.owners[at].ranks.offer(self.now, order) {
             Offer::Run(permit) => self.start(at, permit, request),
             Offer::Wait(ticket) => self.owners[at].waiting.push((ticket, request)),
-            Offer::Refuse(refusal) => self.refused(at, request, refusal),
+            Offer::Refuse(refusal) => self.handle_refusal(at, request, refusal),
         }
     }
 
@@ -192,14 +192,14 @@
             .push((self.now + work as u64 + 1, permit, request));
     }
 
-    fn refused(&mut self, at: usize, request: Request, refusal: Refusal) {
-        self.told(at, &request, Outcome::Refused(refusal));
+    fn handle_refusal(&mut self, at: usize, request: Request, refusal: Refusal) {
+        self.report(at, &request, Outcome::Refused(refusal));
         if request.tried.len() < HOPS {
             self.due.push((self.now + HOP_MS, request));
         }
     }
 
-    fn told(&mut self, at: usize, request: &Request, outcome: Outcome) {
+    fn report(&mut self, at: usize, request: &Request, outcome: Outcome) {
         let outlook: Outlook = self.owners[at].ranks.outlook();
         let entry = &mut self.entries[request.entry];
         entry.finished(self.now, id(at), Class::Background, outcome, Some(outlook));
@@ -218,7 +218,7 @@
             let latency = self.now.since(request.arrived);
             self.tally.timely += u32::from(latency <= GOAL_MS);
             self.tally.far += u32::from(zone(request.entry) != zone(at));
-            self.told(at, &request, Outcome::Answered { latency });
+            self.report(at, &request, Outcome::Answered { latency });
         }
         let ranks = &mut self.owners[at].ranks;
         if ranks.due().is_some_and(|it| it <= self.now) {
@@ -233,7 +233,7 @@
             let (_, request) = waiting.swap_remove(place.expect("it waits"));
             match wake {
                 Wake::Run(_, permit) => self.start(at, permit, request),
-                Wake::Refuse(_, refusal) => self.refused(at, request, refusal),
+                Wake::Refuse(_, refusal) => self.handle_refusal(at, request, refusal),
             }
         }
     }
@@ -243,37 +243,32 @@
     f64::from(part) / f64::from(whole)
 }
 
-/// Seventy-eight entries send requests to forty-six endpoints, at half and four fifths of what those can carry and
-/// beyond. Each entry hears from an endpoint about once a second. Sent to whichever seems fastest, all entries'
-/// requests meet at the same few endpoints and queue there while others idle: 0.916, 0.850 and 0.716 in time where no
-/// endpoint is probed.
-#[test_case(1_250.0, 0.93; "half of the room")]
-#[test_case(2_000.0, 0.88; "four fifths")]
-#[test_case(2_600.0, 0.74; "more than fits")]
-fn many_entries_that_know_little_do_not_crowd_the_fastest(per_second: f64, least: f64) {
+/// Guards against queues at the seemingly fastest endpoints while others idle: each of 78 entries receives an outlook of
+/// each of 46 endpoints about once a second.
+#[test_case(1_250.0, 0.93; "half of the capacity")]
+#[test_case(2_000.0, 0.88; "four fifths of the capacity")]
+#[test_case(2_600.0, 0.74; "above the capacity")]
+fn entries_with_old_outlooks_spread_requests(per_second: f64, least: f64) {
     let mut fleet = Fleet::new(78, 46);
     let tally = fleet.run(per_second, 10_000);
     assert!(share(tally.timely, tally.asked) > least, "{tally:?}");
     assert!(share(tally.far, tally.asked) < 0.10, "{tally:?}");
 }
 
-/// Two hundred and thirty-four entries and 138 endpoints. Were each entry to send to all 46 of its zone, it would hear of
-/// one every two seconds: 0.929, 0.893 and 0.732 in time, and each node held connections to all others. It sends to a
-/// third of them, which others share with it in part.
-#[test_case(3_740.0, 0.925; "half of the room")]
-#[test_case(5_980.0, 0.90; "four fifths")]
-#[test_case(7_780.0, 0.74; "more than fits")]
-fn entries_of_a_large_fleet_share_out_the_endpoints(per_second: f64, least: f64) {
+/// Guards against old outlooks and uneven load in a large fleet, where each entry uses a part of the endpoints.
+#[test_case(3_740.0, 0.925; "half of the capacity")]
+#[test_case(5_980.0, 0.90; "four fifths of the capacity")]
+#[test_case(7_780.0, 0.74; "above the capacity")]
+fn large_fleet_spreads_requests(per_second: f64, least: f64) {
     let mut fleet = Fleet::new(234, 138);
     let tally = fleet.run(per_second, 10_000);
     assert!(share(tally.timely, tally.asked) > least, "{tally:?}");
     assert!(share(tally.far, tally.asked) < 0.05, "{tally:?}");
 }
 
-/// Eight entries and five endpoints at nine tenths of what they carry: entries know the endpoints well, one zone is
-/// short of room and exports, and no other does.
+/// Guards against idle endpoints and needless traffic between zones in a small fleet at nine tenths of its capacity.
 #[test]
-fn few_entries_that_know_much_fill_every_endpoint() {
+fn small_fleet_uses_every_endpoint() {
     let mut fleet = Fleet::new(8, 5);
     let tally = fleet.run(220.0, 20_000);
     assert!(share(tally.timely, tally.asked) > 0.83, "{tally:?}");
--- a/crates/kernel/tests/ranks.rs
+++ b/crates/kernel/tests/ranks.rs
@@ -1,4 +1,4 @@
-//! Admission by priority and goal, under the loads it is meant for.
+//! Admission control by priority and goal: order, refusals and simulated overload.
 
 use laburnum_kernel::{
     Ms,
@@ -35,21 +35,21 @@
 fn run(offer: Offer) -> Permit {
     match offer {
         Offer::Run(permit) => permit,
-        other => panic!("it runs at once: {other:?}"),
+        other => panic!("expected to run at once: {other:?}"),
     }
 }
 
 fn wait(offer: Offer) -> Ticket {
     match offer {
         Offer::Wait(ticket) => ticket,
-        other => panic!("it waits: {other:?}"),
+        other => panic!("expected to wait: {other:?}"),
     }
 }
 
 fn refused(offer: Offer) -> Refusal {
     match offer {
         Offer::Refuse(refusal) => refusal,
-        other => panic!("it is refused: {other:?}"),
+        other => panic!("expected a refusal: {other:?}"),
     }
 }
 
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn urgent_goes_first_then_the_earliest_goal() {
+fn order_is_by_priority_then_goal() {
     let mut ranks = ranks(1);
     let running = run(ranks.offer(NOW, order(NOW, 2, 500, 2_000)));
     let later = wait(ranks.offer(NOW, order(NOW, 2, 900, 2_000)));
@@ -82,10 +82,9 @@
     }
 }
 
-/// Requests that are late already come before others by their deadline and so make those late, too: soon all are
-/// late and none is in time. Whoever can still reach the goal goes first.
+/// Guards against late requests that run first and make all others late as well.
 #[test]
-fn what_can_only_be_late_waits_behind_what_can_be_in_time() {
+fn late_requests_wait_behind_timely_ones() {
     let mut ranks = ranks(1);
     let running = run(ranks.offer(NOW, order(NOW, 2, 500, 2_000)));
     let late = wait(ranks.offer(NOW, order(NOW, 2, 10, 1_000)));
@@ -93,25 +92,23 @@
     let mut wakes = Vec::new();
     ranks.done(NOW + 50, running, Finish::Answered, &mut wakes);
     assert_eq!(started(&wakes), [timely]);
-    assert_eq!(ranks.waiting(), 1, "{late:?} goes on waiting");
+    assert_eq!(ranks.waiting(), 1, "{late:?} still waits");
 }
 
-/// A caller whose request cannot be served in time learns it at once, with the time after which it can, not when its
-/// deadline has passed.
+/// Guards against requests that wait although they can't be answered in time.
 #[test]
-fn hopeless_request_is_refused_at_once_with_a_hint() {
+fn unservable_request_is_refused_with_retry_time() {
     let mut ranks = ranks(1);
     let _running = run(ranks.offer(NOW, order(NOW, 1, 500, 2_000)));
     while let Offer::Wait(_) = ranks.offer(NOW, order(NOW, 1, 200, 400)) {}
     let refusal = refused(ranks.offer(NOW, order(NOW, 1, 200, 400)));
     assert_eq!(refusal.reason, Reason::Overloaded);
-    assert!(refusal.after > 0, "it says when to come back");
+    assert!(refusal.after > 0, "the refusal states when to retry");
 }
 
-/// A request that has other endpoints to ask doesn't queue behind others of its rank; one that goes first anyway, and
-/// starts with the next free slot, does.
+/// Guards against probes that queue behind others of their rank; an urgent probe may wait for the next free slot.
 #[test]
-fn probe_waits_only_where_it_starts_soon() {
+fn probe_waits_only_for_the_next_free_slot() {
     let probe = |priority| Order {
         queue: Queue::Short,
         ..order(NOW, priority, 300, 2_000)
@@ -134,7 +131,7 @@
 #[test_case(Phase::Warming, Reason::NotReady)]
 #[test_case(Phase::Draining, Reason::Draining)]
 #[test_case(Phase::Gone, Reason::Draining)]
-fn upstream_that_is_not_ready_gets_nothing(phase: Phase, reason: Reason) {
+fn upstream_not_ready_refuses_all_requests(phase: Phase, reason: Reason) {
     let mut ranks = ranks(1);
     let _running = run(ranks.offer(NOW, order(NOW, 1, 500, 2_000)));
     let waiting = wait(ranks.offer(NOW, order(NOW, 1, 500, 2_000)));
@@ -147,7 +144,7 @@
     );
 }
 
-/// A caller that left while its request waited must not cost a slot.
+/// Guards against a cancelled request that takes a slot.
 #[test]
 fn cancelled_request_never_runs() {
     let mut ranks = ranks(1);
@@ -163,14 +160,14 @@
 #[test_case("3/6/0/10/20/0/5/6/7" => false; "too short")]
 #[test_case("3/6/0/10/20/0/5/6/7/8/9" => false; "too long")]
 #[test_case("3/6/0/10/20/0/5/6/7/x" => false; "no number")]
-fn outlook_reads_what_it_writes(text: &str) -> bool {
+fn outlook_text_round_trips(text: &str) -> bool {
     match text.parse::<Outlook>() {
         Ok(it) => it.to_string() == text,
         Err(_) => false,
     }
 }
 
-/// One class of requests of a simulated hour of work.
+/// One class of requests in a simulation.
 struct Class {
     priority: u8,
     per_second: f64,
@@ -186,7 +183,7 @@
     late: u32,
 }
 
-/// Poisson arrivals, exponential work, one upstream; callers that are refused do not come back.
+/// Simulates Poisson arrivals with exponential service times at one upstream; refused requests are not retried.
 fn simulate(slots: u16, classes: &[Class], seconds: u64) -> Vec<Tally> {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let mut ranks = ranks(slots);
@@ -247,11 +244,9 @@
     tallies
 }
 
-/// The pattern of a desk whose reads exceed its slots by a third while signatures go before them: six slots, reads of
-/// 95 ms with a goal of 200 ms, signatures of 78 ms. Of the reads, most of what the slots can carry is in time; few are
-/// served late, and signatures do not notice.
+/// Guards against late answers under overload: reads exceed the slots left by more urgent signatures by a third.
 #[test]
-fn overloaded_upstream_serves_in_time_what_fits() {
+fn overloaded_upstream_answers_most_in_time() {
     let classes = [
         Class {
             priority: 1,
@@ -271,8 +266,7 @@
     let tallies = simulate(6, &classes, 60);
     let share = |it: Tally| f64::from(it.timely) / f64::from(it.asked);
     assert!(share(tallies[0]) > 0.9, "signatures: {:?}", tallies[0]);
-    // The slots left over carry (6 - 17 * 0.078) / 0.095 = 49 of 70 reads, 0.7 of them, some of which take
-    // longer than the goal by themselves.
+    // The slots left carry (6 - 17 * 0.078) / 0.095 = 49 of 70 reads, 0.7 of them, some of which take longer than the goal.
     assert!(share(tallies[1]) > 0.5, "reads: {:?}", tallies[1]);
     assert!(
         tallies[1].late * 3 < tallies[1].timely,
@@ -281,9 +275,8 @@
     );
 }
 
-/// Calls that a run makes while it goes on have little time, and if one is refused its whole run has failed. Here they
-/// meet lookups that fill every slot and then some. A slot comes free every 40 ms and the calls go first, so nearly all
-/// can be answered before their deadline, though few within their goal.
+/// Guards against refusals of short urgent calls, which can be answered before their deadline, while long lookups fill
+/// every slot.
 #[test]
 fn short_calls_are_served_beside_long_lookups() {
     let classes = [
@@ -307,10 +300,9 @@
     assert!(served * 100 > tallies[0].asked * 95, "calls: {tallies:?}");
 }
 
-/// Urgent work alone fills the slots for good. The least urgent class still gets a start every [`STARVATION_MS`], so its
-/// callers are served now and then rather than never.
+/// Guards against a less urgent rank that gets no start while urgent requests fill all slots.
 #[test]
-fn least_urgent_class_is_never_shut_out() {
+fn least_urgent_rank_is_not_starved() {
     let classes = [
         Class {
             priority: 0,
@@ -334,7 +326,7 @@
 }
 
 #[test]
-fn outlook_tells_the_wait_by_rank() {
+fn outlook_reports_the_wait_by_rank() {
     let mut ranks = ranks(2);
     assert_eq!(ranks.outlook().free, 2);
     assert_eq!(ranks.outlook().wait, [0; RANKS]);
@@ -352,15 +344,12 @@
     assert!(outlook.wait[0] < outlook.wait[2], "{outlook:?}");
 }
 
-/// Scanned petitions that hold a slot for 110 ms, receipts of 36 ms and calls of votes of 22 ms share one upstream and
-/// one priority, beyond what it carries. Held against one mean for all, petitions that had waited until their own goal
-/// was near went before every newcomer: 99 of 100 were served, nearly all late, and of the calls, without which a vote
-/// fails, only 73 of 100. Each held against its own, the short ones are served, and what does not fit is refused: of
-/// the petitions, as few as possible.
-#[test_case(1.0, 0.95, 0.8; "all of the room")]
-#[test_case(1.1, 0.95, 0.65; "a tenth beyond it")]
-#[test_case(1.3, 0.9, 0.35; "a third beyond it")]
-fn long_requests_do_not_shut_out_short_ones(load: f64, short: f64, long: f64) {
+/// Guards against long requests (110 ms) that starve short ones (22 and 36 ms) of the same priority under overload, as
+/// with one mean service time for all kinds.
+#[test_case(1.0, 0.95, 0.8; "at capacity")]
+#[test_case(1.1, 0.95, 0.65; "a tenth above capacity")]
+#[test_case(1.3, 0.9, 0.35; "a third above capacity")]
+fn long_requests_do_not_starve_short_ones(load: f64, short: f64, long: f64) {
     let class = |per_second: f64, work, goal, deadline| Class {
         priority: 1,
         per_second: per_second * load,
@@ -380,10 +369,9 @@
     assert!(served(tallies[2]) > long, "petitions: {tallies:?}");
 }
 
-/// Kinds come and go with the configuration. An upstream that has seen many goes on with the newest ones, and every
-/// request keeps its slot until it ends.
+/// Guards against lost slots and lost running requests when more kinds are used than are stored.
 #[test]
-fn kinds_beyond_the_bound_take_the_place_of_idle_ones() {
+fn kinds_above_the_maximum_replace_idle_ones() {
     let mut ranks = ranks(100);
     let offer = |ranks: &mut Ranks, kind: u32| {
         let order = Order {
--- a/crates/kernel/tests/sampling.rs
+++ b/crates/kernel/tests/sampling.rs
@@ -1,4 +1,4 @@
-//! Which log lines are written when there are too many.
+//! Rate limit for the log lines of requests.
 
 use laburnum_kernel::{
     Ms,
@@ -10,9 +10,9 @@
     verdicts.filter(|it| *it != Verdict::Omit).count() as u32
 }
 
-/// A flood of successes, or of refusals, must not keep out the few lines of the other kind, nor become a flood of lines.
+/// Guards against many lines of one kind that displace the other kind or exceed the limit.
 #[test]
-fn each_kind_has_its_own_bound() {
+fn each_kind_has_its_own_limit() {
     let mut sampler = Sampler::default();
     let now = Ms(10_000);
     assert_eq!(
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn next_line_tells_how_many_were_left_out() {
+fn next_line_states_the_omitted_count() {
     let mut sampler = Sampler::default();
     let now = Ms(10_000);
     written(&mut sampler, now, Kind::Success, SUCCESSES_MAX + 7);
