--- a/crates/kernel/src/once.rs
+++ b/crates/kernel/src/once.rs
@@ -1,9 +1,8 @@
-//! At most once: claims of requests that may not be repeated.
+//! At-most-once execution: claims on requests that must not be repeated.
 //!
-//! The node that is about to run such a request asks its kernel for a claim ([`Call::Claim`]) and runs it
-//! only after [`Reply::Granted`]. The claim is a conditional write in the platform's table before the run;
-//! [`Call::Settle`] keeps the outcome afterwards. Keys hash to [`BUCKETS`] buckets with a row each, and
-//! all waiting claims of a bucket are committed together by its present owner.
+//! A node claims such a request with [`Call::Claim`], a conditional write to the platform's table, and runs it
+//! only after [`Reply::Granted`]; [`Call::Settle`] stores the outcome afterwards. Keys hash to [`BUCKETS`]
+//! buckets with one table row each, and the current owner of a bucket commits all its waiting claims together.
 
 mod bucket;
 mod holder;
@@ -23,115 +22,116 @@
     utils::hash64,
 };
 
-pub use ledger::{Entry, Kept, Ledger, Outcome, Phase, Segment};
+pub use ledger::{Entry, Ledger, Outcome, Phase, Segment, StoredAnswer};
 
 inventory::submit! { Plugin { name: "once", order: 50, scope: Scope::Submitted, handle } }
 
-/// Number of buckets. Every node must agree on it, so it is no setting.
+/// Number of buckets. A constant and not a setting, because all nodes must agree on it.
 pub const BUCKETS: u16 = 16;
 
-/// Shortest time between two writes of one bucket's row, in ms: [`BUCKETS`] rows at this pace stay under
-/// the several hundred writes a second that the platform takes.
-pub const PACE_MS: u64 = 50;
+/// Minimum time between two writes of one bucket's row, in ms. Keeps the writes of all [`BUCKETS`] rows below
+/// the platform's rate limit.
+pub const WRITE_INTERVAL_MS: u64 = 50;
 
-/// A grant that arrives later than this after the claim was asked for is not used.
-pub const GRANT_MS: u64 = 3_000;
+/// Time after the claim was requested for which a grant may be used, in ms.
+pub const GRANT_TIMEOUT_MS: u64 = 3_000;
 
-/// An owner that has not answered after this long is passed over for another one.
-pub const FORWARD_MS: u64 = 800;
+/// Time after which an unanswered claim is also sent to the deputy owner, in ms.
+pub const FORWARD_TIMEOUT_MS: u64 = 800;
 
-/// A claim that is open for longer counts as of unknown outcome even while its holder lives.
-pub const OPEN_MS: u64 = 10 * 60 * 1_000;
+/// Time after which the outcome of an open claim counts as unknown although its holder is alive, in ms.
+pub const OPEN_TIMEOUT_MS: u64 = 10 * 60 * 1_000;
 
-/// A claim whose holder is no member counts as of unknown outcome only after this long, in ms: a node that
-/// started lately may not know the holder yet.
-pub const ABSENT_MS: u64 = 15_000;
+/// Time after which the outcome of a claim counts as unknown if its holder is not a member, in ms. Before that,
+/// a recently started node may not know the holder yet.
+pub const ABSENT_GRACE_MS: u64 = 15_000;
 
-/// The longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const KEY_MAX: usize = 128;
 
-/// Answers of up to this many bytes are kept in the claim itself, larger ones as an object.
+/// Maximum size of an answer that is stored in the claim itself, in bytes; larger ones become an object.
 pub const INLINE_MAX: usize = 512;
 
-/// Key of the table row of `bucket`.
+/// Returns the key of the table row of `bucket`.
 pub fn row_key(bucket: u16) -> String {
     format!("claim/{bucket:04x}")
 }
 
-/// What a claim is for: the service and the caller's `Idempotency-Key`.
+/// Identifies a claimed request: the service and the caller's `Idempotency-Key`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// The service.
+    /// The called service.
     pub service: Name,
-    /// The text of the header, 1 to [`KEY_MAX`] bytes.
+    /// Value of the header, 1 to [`KEY_MAX`] bytes.
     pub text: String,
 }
 
 impl Key {
-    /// The bucket that holds the key.
+    /// Returns the bucket that holds the key.
     pub fn bucket(&self) -> u16 {
         (self.hash() % u64::from(BUCKETS)) as u16
     }
 
-    /// A hash for indexes; equal keys have equal hashes.
+    /// Returns a hash for indexes; equal keys have equal hashes.
     pub fn hash(&self) -> u64 {
         hash64(&[self.service.as_str().as_bytes(), self.text.as_bytes()])
     }
 }
 
-/// One attempt at running a request; chosen at random by the node that runs it and never used again.
+/// Identifies one attempt at running a request; chosen at random by the node that runs it, never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId(pub u128);
 
-/// The answer of an upstream, as kept for replay.
+/// The answer of an upstream, as stored for replay.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers to send again.
+    /// Headers to replay.
     pub headers: Vec<(String, String)>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// What became of a claimed request, as its holder tells it.
+/// Outcome of a granted request, as its holder reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// The upstream ran it and answered.
+    /// The upstream ran the request and answered.
     Ran(Answer),
-    /// No byte reached the upstream, or it said so itself: the key may be claimed again.
+    /// Nothing reached the upstream, or it reported that it did not run the request. The key may be claimed
+    /// again.
     NotRun,
-    /// The upstream died, or its answer was lost.
+    /// The upstream failed or its answer was lost.
     Unknown,
 }
 
-/// An operator's decision on a claim of unknown outcome.
+/// An operator's decision on a claim with an unknown outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Resolution {
     /// The request ran; it must never run again.
     Ran,
-    /// The request surely did not run; the key may be claimed again.
+    /// The request certainly did not run; the key may be claimed again.
     Rerun,
 }
 
-/// What a traffic thread or an operator asks.
+/// A call from a traffic thread or an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// May this request run now?
+    /// Requests permission to run a request.
     Claim {
         key: Key,
         attempt: AttemptId,
         print: Fingerprint,
     },
-    /// A granted request ended, or the grant was not used ([`Ended::NotRun`]).
+    /// Reports the end of a granted request; [`Ended::NotRun`] if the grant was not used.
     Settle {
         key: Key,
         attempt: AttemptId,
         ended: Ended,
     },
-    /// Which claims are of unknown outcome?
+    /// Lists the claims with an unknown outcome.
     List,
-    /// Decides on a claim of unknown outcome. The decision is kept with the claim and logged.
+    /// Decides on a claim with an unknown outcome. The decision is stored with the claim and logged.
     Resolve {
         key: Key,
         resolution: Resolution,
@@ -143,78 +143,78 @@
 /// The answer to a [`Call`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Run it now. After `until` the grant must not be used any more: settle it as not run instead.
+    /// The request may start until `until`; a grant that was not used by then must be settled as not run.
     Granted { until: Ms },
-    /// It ran before; send this answer again.
+    /// The request ran before; replay this answer.
     Replay(Answer),
-    /// Another attempt is in progress: this one was not run; retry after `after` ms.
+    /// Another attempt is in progress and this one was not run; retry after `after` ms.
     Busy { after: u64 },
-    /// An earlier attempt may have run and its answer cannot be had: never run it again.
+    /// An earlier attempt may have run and its answer is not available; the request must not run again.
     Unknown { why: String },
-    /// The key was used for another request: refused.
+    /// Refused: the key was used for another request.
     Mismatch,
-    /// No claim could be written, so the request was not run; retry after `after` ms.
+    /// No claim was written and the request was not run; retry after `after` ms.
     Unavailable { after: u64, why: String },
-    /// To [`Call::Settle`]: the outcome is kept.
+    /// Answers [`Call::Settle`]: the outcome is stored.
     Settled,
-    /// To [`Call::List`].
+    /// Answers [`Call::List`].
     Listed(Vec<Entry>),
-    /// To [`Call::Resolve`]: done.
+    /// Answers [`Call::Resolve`]: the decision is stored.
     Resolved,
-    /// To [`Call::Resolve`]: not possible, and why.
+    /// Answers [`Call::Resolve`] or [`Call::List`]: the call failed, and why.
     Refused { why: String },
 }
 
-/// A claim on its way to a bucket's owner.
+/// A claim as sent to the owner of its bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// What is claimed.
+    /// The key to claim.
     pub key: Key,
-    /// The attempt.
+    /// The attempt that makes the claim.
     pub attempt: AttemptId,
     /// Digest of the request.
     pub print: Fingerprint,
-    /// The node that will run it.
+    /// The node that will run the request.
     pub holder: NodeId,
-    /// The process of the holder.
+    /// Incarnation of the holder's process.
     pub incarnation: u64,
 }
 
-/// An outcome on its way to a bucket's owner.
+/// An outcome as sent to the owner of its bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settlement {
-    /// The claim's key.
+    /// Key of the claim.
     pub key: Key,
     /// The attempt that ended.
     pub attempt: AttemptId,
-    /// What became of it.
+    /// The outcome.
     pub outcome: Outcome,
 }
 
-/// Between nodes.
+/// Messages between the holder of a claim and the owner of its bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Please commit this claim.
+    /// Requests that the owner commits this claim.
     Claim(Claim),
-    /// To [`Message::Claim`].
+    /// Answers [`Message::Claim`].
     Verdict {
         attempt: AttemptId,
         verdict: Verdict,
     },
-    /// Please keep this outcome.
+    /// Requests that the owner stores this outcome.
     Settle(Settlement),
-    /// To [`Message::Settle`]: it is kept.
+    /// Answers [`Message::Settle`]: the outcome is stored.
     Settled { attempt: AttemptId },
 }
 
-/// What an owner says of a claim.
+/// An owner's decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     /// The claim is written.
     Granted,
-    /// It ran before.
-    Ran(Kept),
-    /// Another attempt is open and its holder lives.
+    /// The request ran before.
+    Ran(StoredAnswer),
+    /// Another attempt is open and its holder is alive.
     Busy,
     /// Another attempt may have run.
     Unknown { why: String },
@@ -222,14 +222,14 @@
     Mismatch,
     /// Nothing was written.
     Unavailable { after: u64, why: String },
-    /// The write may or may not have taken effect; the holder must not run it.
+    /// The write may or may not have taken effect; the holder must not run the request.
     Doubt { after: u64 },
 }
 
-/// Settings of claims.
+/// Settings for claims.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OnceSettings {
-    /// How long the answer of a key is kept and a repeat is recognised, in ms. Default: 24 h.
+    /// Time for which answers are stored and repeated keys are recognised, in ms. Default: 24 h.
     pub retention: u64,
 }
 
@@ -250,12 +250,12 @@
 }
 
 impl Once {
-    /// Outcomes that are not kept yet; a node that leaves waits for them.
+    /// Returns the number of outcomes that are not stored yet; a node that drains waits for them.
     pub fn unsettled(&self) -> usize {
         self.holder.unsettled()
     }
 
-    /// Bytes of memory that the claims of this node's buckets take, roughly.
+    /// Returns the approximate memory used by the claims of this node's buckets, in bytes.
     pub fn footprint(&self) -> usize {
         self.buckets.values().map(bucket::Bucket::footprint).sum()
     }
@@ -266,30 +266,30 @@
         Event::Call {
             token,
             call: event::Call::Once(call),
-        } => called(cx, state, *token, call),
+        } => handle_call(cx, state, *token, call),
         Event::Message {
             from,
             message: event::Message::Once(message),
-        } => received(cx, state, *from, message),
+        } => handle_message(cx, state, *from, message),
         Event::Table { call, answer } => match state.once.lists.remove(call) {
-            Some(token) => bucket::listed(cx, state, token, answer),
-            None => bucket::table(cx, state, *call, answer),
+            Some(token) => bucket::reply_list(cx, state, token, answer),
+            None => bucket::handle_table_answer(cx, state, *call, answer),
         },
         Event::Object { call, answer } => {
-            holder::object(cx, state, *call, answer);
-            bucket::object(cx, state, *call, answer);
+            holder::handle_object_answer(cx, state, *call, answer);
+            bucket::handle_object_answer(cx, state, *call, answer);
         }
         Event::Tick => {
             holder::tick(cx, state);
             bucket::tick(cx, state);
         }
-        Event::Notice(Notice::Paused { .. }) => holder::paused(cx, state),
-        Event::Notice(Notice::Members | Notice::Own) => holder::forget_targets(state),
+        Event::Notice(Notice::Paused { .. }) => holder::handle_pause(cx, state),
+        Event::Notice(Notice::Members | Notice::Own) => holder::clear_targets(state),
         _ => {}
     }
 }
 
-fn called(cx: &mut Context<'_>, state: &mut State, token: Token, call: &Call) {
+fn handle_call(cx: &mut Context<'_>, state: &mut State, token: Token, call: &Call) {
     match call {
         Call::Claim {
             key,
@@ -322,12 +322,14 @@
     }
 }
 
-fn received(cx: &mut Context<'_>, state: &mut State, from: NodeId, message: &Message) {
+fn handle_message(cx: &mut Context<'_>, state: &mut State, from: NodeId, message: &Message) {
     match message {
         Message::Claim(claim) => bucket::claim(cx, state, from, claim.clone()),
         Message::Settle(it) => bucket::settle(cx, state, from, it.clone()),
-        Message::Verdict { attempt, verdict } => holder::verdict(cx, state, *attempt, verdict),
-        Message::Settled { attempt } => holder::settled(cx, state, *attempt),
+        Message::Verdict { attempt, verdict } => {
+            holder::handle_verdict(cx, state, *attempt, verdict)
+        }
+        Message::Settled { attempt } => holder::handle_settled(cx, state, *attempt),
     }
 }
 
--- a/crates/kernel/src/once/bucket.rs
+++ b/crates/kernel/src/once/bucket.rs
@@ -1,8 +1,7 @@
-//! The side that owns buckets: commits the claims that wait for one row together.
+//! The owner's side of claims: commits all claims that wait for one bucket's row together.
 //!
-//! One write of a row is in flight at a time, on the condition that the row is unchanged since it was read.
-//! Two owners at once therefore collide, read the row again and decide again; neither grants a claim that
-//! the other has granted.
+//! One write of a row is in flight at a time, conditional on the row being unchanged since it was read. If two
+//! nodes act as owner, one write fails; that node reads the row and decides again, so no claim is granted twice.
 
 mod answer;
 mod decide;
@@ -11,7 +10,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use self::{
-    answer::{confirm, fail, looked},
+    answer::{handle_lookup, respond_failed, respond_written},
     decide::decide,
     pace::{Contended, Pace},
 };
@@ -21,78 +20,80 @@
     kernel::{Context, State},
     members::Members,
     once::{
-        BUCKETS, Claim, GRANT_MS, PACE_MS, Reply, Settlement, holder,
-        ledger::{Decision, Entry, Ledger, Process},
+        BUCKETS, Claim, GRANT_TIMEOUT_MS, Reply, Settlement, WRITE_INTERVAL_MS, holder,
+        ledger::{Decision, Entry, HolderState, Ledger},
         reply, row_key,
         seal::Sealer,
     },
     platform::{ABSENT, Check, Fault, ObjectAnswer, ObjectOp, Row, TableAnswer, TableOp, Write},
 };
 
-/// Most requests that wait for one bucket; more are refused.
+/// Maximum number of requests that wait for one bucket; more are refused.
 const QUEUE_MAX: usize = 1_024;
 
-/// Most requests that one write of a row carries.
+/// Maximum number of requests in one write of a row.
 const BATCH_MAX: usize = 128;
 
-/// A row of more bytes takes no new claims: too many are open or of unknown outcome.
+/// Row size from which new claims are refused, in bytes. Reached if too many claims are open or unknown.
 const ROW_MAX: usize = 128 * 1024;
 
-/// A bucket with more sealed claims within the retention takes no new ones: 8 bytes of memory each.
+/// Number of sealed claims from which new claims are refused. Each takes 8 bytes of memory.
 const INDEX_MAX: usize = 1_000_000;
 
-/// From this share on a bucket that fills up is logged, every so often.
+/// Fill level from which a bucket is logged, in percent.
 const WARN_PERCENT: usize = 70;
 
+/// Minimum time between two such log lines of a bucket, in ms.
 const WARN_MS: u64 = 60_000;
 
-/// One bucket that this node commits for.
+/// One bucket that this node owns.
 #[derive(Debug, Default)]
 pub(super) struct Bucket {
-    row: Known,
+    row: RowState,
     size: usize,
-    queue: VecDeque<Ask>,
-    /// Number of the newest request.
-    newest: u64,
-    flight: Option<Flight>,
-    /// When a bucket that fills up was last logged.
-    warned: Ms,
-    /// When the next write may begin.
-    due: Ms,
+    queue: VecDeque<Request>,
+    /// Number of the last request that arrived.
+    last_number: u64,
+    in_flight: Option<InFlight>,
+    /// When the fill level was last logged.
+    last_warning: Ms,
+    /// Earliest time of the next write.
+    next_write: Ms,
     pace: Pace,
-    /// Until when the table counts as down.
-    down: Ms,
+    /// Time until which requests are refused because the table failed.
+    down_until: Ms,
     sealer: Sealer,
-    lookups: BTreeMap<CallId, Ask>,
+    /// Claims that wait for the segment that may hold their key.
+    lookups: BTreeMap<CallId, Request>,
 }
 
-/// What this node knows of the row.
+/// This node's copy of the row.
 #[derive(Debug, Default)]
-enum Known {
+enum RowState {
     #[default]
-    Nothing,
-    /// At this version, as of the moment that the request with number `read` was the newest.
-    Row {
+    Unknown,
+    /// The row at `version`, read when `read_number` was the number of the last request.
+    Loaded {
         version: u64,
         ledger: Ledger,
-        read: u64,
+        read_number: u64,
     },
 }
 
 #[derive(Debug)]
-struct Ask {
+struct Request {
     work: Work,
     since: Ms,
-    /// Counts the bucket's requests.
+    /// Position in the order of the bucket's requests.
     number: u64,
     written: Written,
 }
 
-/// Whether a write that holds the request may have taken effect.
+/// Whether an earlier write that contains the request may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Written {
     No,
-    Perhaps,
+    Maybe,
 }
 
 #[derive(Debug)]
@@ -103,21 +104,21 @@
 }
 
 #[derive(Debug)]
-enum Flight {
+enum InFlight {
     Read {
         call: CallId,
-        read: u64,
+        read_number: u64,
     },
     Write {
         call: CallId,
         version: u64,
-        read: u64,
+        read_number: u64,
         ledger: Ledger,
         size: usize,
-        asks: Vec<Ask>,
+        requests: Vec<Request>,
         dropped: Vec<String>,
     },
-    /// Reads the keys of a segment.
+    /// Reads a segment for its keys.
     Index(CallId, String),
 }
 
@@ -126,27 +127,27 @@
         self.size + self.sealer.footprint()
     }
 
-    /// Whether the bucket takes no new claims. Operators are told well before that.
-    fn full(&mut self, cx: &mut Context<'_>, id: u16) -> bool {
-        let used = (self.size * 100 / ROW_MAX).max(self.sealer.keys() * 100 / INDEX_MAX);
-        if used >= WARN_PERCENT && cx.now.since(self.warned) > WARN_MS {
-            self.warned = cx.now;
+    /// Returns whether the bucket takes no new claims. Logs a warning well before that.
+    fn is_full(&mut self, cx: &mut Context<'_>, id: u16) -> bool {
+        let used = (self.size * 100 / ROW_MAX).max(self.sealer.key_count() * 100 / INDEX_MAX);
+        if used >= WARN_PERCENT && cx.now.since(self.last_warning) > WARN_MS {
+            self.last_warning = cx.now;
             let pairs = vec![
                 ("row", row_key(id)),
                 ("percent", used.to_string()),
                 ("row_bytes", self.size.to_string()),
-                ("kept", self.sealer.keys().to_string()),
+                ("kept", self.sealer.key_count().to_string()),
             ];
             cx.log("claims-filling", pairs);
         }
         used >= 100
     }
 
-    fn call(&self) -> Option<CallId> {
-        match self.flight.as_ref()? {
-            Flight::Read { call, .. } | Flight::Write { call, .. } | Flight::Index(call, _) => {
-                Some(*call)
-            }
+    fn in_flight_call(&self) -> Option<CallId> {
+        match self.in_flight.as_ref()? {
+            InFlight::Read { call, .. }
+            | InFlight::Write { call, .. }
+            | InFlight::Index(call, _) => Some(*call),
         }
     }
 }
@@ -166,7 +167,7 @@
     push(cx, state, id, Work::Resolve(token, it));
 }
 
-/// Reads every bucket's row, for [`listed`].
+/// Reads the rows of all buckets, for [`reply_list`].
 pub(super) fn list(cx: &mut Context<'_>) -> CallId {
     cx.table(TableOp::Get {
         keys: (0..BUCKETS).map(row_key).collect(),
@@ -174,21 +175,26 @@
 }
 
 /// Answers [`super::Call::List`].
-pub(super) fn listed(cx: &mut Context<'_>, state: &mut State, token: Token, answer: &TableAnswer) {
+pub(super) fn reply_list(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    token: Token,
+    answer: &TableAnswer,
+) {
     let TableAnswer::Rows(rows) = answer else {
         let why = "the table gave no answer; retry later".to_owned();
         return reply(cx, token, Reply::Refused { why });
     };
     let ledgers = rows.iter().map(|it| Ledger::decode(&it.value));
     let Ok(ledgers) = ledgers.collect::<Result<Vec<Ledger>, _>>() else {
-        let why = "a claim row is damaged; upgrade this node".to_owned();
+        let why = "a claim row cannot be decoded; upgrade this node".to_owned();
         return reply(cx, token, Reply::Refused { why });
     };
     let members = &state.members;
     let found = ledgers
         .into_iter()
         .flat_map(|it| it.entries)
-        .filter(|it| it.unknown(cx.now, |it| process(members, it)))
+        .filter(|it| it.is_unknown(cx.now, |it| holder_state(members, it)))
         .collect();
     reply(cx, token, Reply::Listed(found));
 }
@@ -198,71 +204,85 @@
         .once
         .buckets
         .iter()
-        .filter(|(_, it)| it.flight.is_none() && (!it.queue.is_empty() || it.sealer.stored()))
+        .filter(|(_, it)| {
+            it.in_flight.is_none() && (!it.queue.is_empty() || it.sealer.has_stored_segment())
+        })
         .map(|(id, _)| *id)
         .collect();
     for id in waiting {
-        pump(cx, state, id);
+        start_next(cx, state, id);
     }
 }
 
-pub(super) fn table(cx: &mut Context<'_>, state: &mut State, call: CallId, answer: &TableAnswer) {
+pub(super) fn handle_table_answer(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    call: CallId,
+    answer: &TableAnswer,
+) {
     let found = state.once.buckets.iter_mut();
     let Some((id, bucket)) = found
         .map(|(id, it)| (*id, it))
-        .find(|(_, it)| it.call() == Some(call))
+        .find(|(_, it)| it.in_flight_call() == Some(call))
     else {
         return;
     };
-    match bucket.flight.take() {
-        Some(Flight::Write {
+    match bucket.in_flight.take() {
+        Some(InFlight::Write {
             version,
-            read,
+            read_number,
             ledger,
             size,
-            asks,
+            requests,
             dropped,
             ..
         }) => {
             if *answer == TableAnswer::Committed {
-                bucket.row = Known::Row {
+                bucket.row = RowState::Loaded {
                     version: version + 1,
                     ledger,
-                    read,
+                    read_number,
                 };
                 bucket.size = size;
                 if bucket.pace.contended() == Contended::Yes {
-                    bucket.row = Known::Nothing;
+                    bucket.row = RowState::Unknown;
                 }
                 bucket.pace = bucket.pace.faster();
-                bucket.sealer.written(cx, &dropped);
-                asks.into_iter().for_each(|it| confirm(cx, state, it));
+                bucket.sealer.handle_written(cx, &dropped);
+                requests
+                    .into_iter()
+                    .for_each(|it| respond_written(cx, state, it));
             } else {
-                failed_write(cx, state, id, asks, answer);
+                handle_failed_write(cx, state, id, requests, answer);
             }
         }
-        Some(Flight::Read { read, .. }) => loaded(cx, state, id, read, answer),
-        other => bucket.flight = other,
+        Some(InFlight::Read { read_number, .. }) => handle_read(cx, state, id, read_number, answer),
+        other => bucket.in_flight = other,
     }
-    pump(cx, state, id);
+    start_next(cx, state, id);
 }
 
-pub(super) fn object(cx: &mut Context<'_>, state: &mut State, call: CallId, answer: &ObjectAnswer) {
+pub(super) fn handle_object_answer(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    call: CallId,
+    answer: &ObjectAnswer,
+) {
     let ids: Vec<u16> = state.once.buckets.keys().copied().collect();
     for id in ids {
         let Some(bucket) = state.once.buckets.get_mut(&id) else {
             continue;
         };
-        if let Some(ask) = bucket.lookups.remove(&call) {
-            return looked(cx, state, ask, answer);
+        if let Some(request) = bucket.lookups.remove(&call) {
+            return handle_lookup(cx, state, request, answer);
         }
-        if bucket.call() == Some(call) {
-            if let Some(Flight::Index(_, name)) = bucket.flight.take() {
-                indexed(cx, state, id, name, answer);
+        if bucket.in_flight_call() == Some(call) {
+            if let Some(InFlight::Index(_, name)) = bucket.in_flight.take() {
+                handle_index(cx, state, id, name, answer);
             }
-            return pump(cx, state, id);
+            return start_next(cx, state, id);
         }
-        if bucket.sealer.object(cx, call, answer) {
+        if bucket.sealer.handle_object_answer(cx, call, answer) {
             return;
         }
     }
@@ -270,45 +290,57 @@
 
 fn push(cx: &mut Context<'_>, state: &mut State, id: u16, work: Work) {
     let bucket = state.once.buckets.entry(id).or_default();
-    bucket.newest += 1;
-    let ask = Ask {
+    bucket.last_number += 1;
+    let request = Request {
         work,
         since: cx.now,
-        number: bucket.newest,
+        number: bucket.last_number,
         written: Written::No,
     };
-    if cx.now < bucket.down {
-        let after = bucket.down.since(cx.now);
-        return fail(cx, state, ask, after, "the table is down; retry later");
+    if cx.now < bucket.down_until {
+        let after = bucket.down_until.since(cx.now);
+        return respond_failed(
+            cx,
+            state,
+            request,
+            after,
+            "the table is unavailable; retry later",
+        );
     }
     if bucket.queue.len() >= QUEUE_MAX {
-        return fail(cx, state, ask, PACE_MS, "too many claims wait; retry later");
+        return respond_failed(
+            cx,
+            state,
+            request,
+            WRITE_INTERVAL_MS,
+            "too many claims are waiting for this bucket; retry later",
+        );
     }
-    bucket.queue.push_back(ask);
-    pump(cx, state, id);
+    bucket.queue.push_back(request);
+    start_next(cx, state, id);
 }
 
-/// Starts the next operation of a bucket, if it has something to do and nothing in flight.
-fn pump(cx: &mut Context<'_>, state: &mut State, id: u16) {
+/// Starts the next operation of a bucket if one is needed, due and none is in flight.
+fn start_next(cx: &mut Context<'_>, state: &mut State, id: u16) {
     let Some(bucket) = state.once.buckets.get_mut(&id) else {
         return;
     };
-    let idle = bucket.queue.is_empty() && !bucket.sealer.stored();
-    let early = cx.now < bucket.due.max(bucket.down);
-    if bucket.flight.is_some() || idle || early {
+    let idle = bucket.queue.is_empty() && !bucket.sealer.has_stored_segment();
+    let early = cx.now < bucket.next_write.max(bucket.down_until);
+    if bucket.in_flight.is_some() || idle || early {
         return;
     }
-    let Known::Row { ledger, .. } = &bucket.row else {
+    let RowState::Loaded { ledger, .. } = &bucket.row else {
         let keys = vec![row_key(id)];
-        bucket.flight = Some(Flight::Read {
+        bucket.in_flight = Some(InFlight::Read {
             call: cx.table(TableOp::Get { keys }),
-            read: bucket.newest,
+            read_number: bucket.last_number,
         });
         return;
     };
-    if let Some(name) = bucket.sealer.missing(ledger) {
+    if let Some(name) = bucket.sealer.unindexed_segment(ledger) {
         let call = cx.object(ObjectOp::Get { name: name.clone() });
-        bucket.flight = Some(Flight::Index(call, name));
+        bucket.in_flight = Some(InFlight::Index(call, name));
         return;
     }
     decide(cx, state, id);
@@ -320,17 +352,17 @@
     id: u16,
     version: u64,
     ledger: Ledger,
-    asks: Vec<Ask>,
+    requests: Vec<Request>,
     dropped: Vec<String>,
 ) {
     let value = ledger.encode();
     let size = value.len();
-    // Of several owners that seal the same claims only one succeeds; they leave it until it is pressing.
+    // If several owners seal the same claims, only one succeeds; so a contended bucket seals only when it must.
     if bucket.pace.contended() == Contended::No || size > ROW_MAX / 2 {
-        bucket.sealer.consider(cx, id, &ledger, size);
+        bucket.sealer.start_job(cx, id, &ledger, size);
     }
     let key = row_key(id);
-    let read = bucket.newest;
+    let read_number = bucket.last_number;
     let call = cx.table(TableOp::Commit {
         checks: vec![Check {
             key: key.clone(),
@@ -338,93 +370,102 @@
         }],
         writes: vec![Write::Put { key, value }],
     });
-    bucket.due = cx.now + bucket.pace.wait(cx.rng);
-    bucket.flight = Some(Flight::Write {
+    bucket.next_write = cx.now + bucket.pace.wait(cx.rng);
+    bucket.in_flight = Some(InFlight::Write {
         call,
         version,
-        read,
+        read_number,
         ledger,
         size,
-        asks,
+        requests,
         dropped,
     });
 }
 
-/// A write that did not surely take effect.
-fn failed_write(
+/// Handles a write that failed or whose outcome is unknown.
+fn handle_failed_write(
     cx: &mut Context<'_>,
     state: &mut State,
     id: u16,
-    mut asks: Vec<Ask>,
+    mut requests: Vec<Request>,
     answer: &TableAnswer,
 ) {
     let Some(bucket) = state.once.buckets.get_mut(&id) else {
         return;
     };
-    bucket.sealer.unwritten();
+    bucket.sealer.handle_unwritten();
     match answer {
         TableAnswer::Failed(Fault::Unknown) => {
-            // The row is read back: a claim that is in it meets its own attempt id and is granted.
-            asks.iter_mut().for_each(|it| it.written = Written::Perhaps);
-            bucket.row = Known::Nothing;
-            requeue(bucket, asks);
+            // The row is read again: a claim that was written finds its own attempt id and is granted.
+            requests
+                .iter_mut()
+                .for_each(|it| it.written = Written::Maybe);
+            bucket.row = RowState::Unknown;
+            requeue(bucket, requests);
         }
         TableAnswer::Failed(fault) => {
-            let after = holder::hint(fault);
-            bucket.down = cx.now + after;
+            let after = holder::retry_after(fault);
+            bucket.down_until = cx.now + after;
             if matches!(fault, Fault::Throttled { .. }) {
                 bucket.pace = bucket.pace.slower();
             }
             let why = fault.to_string();
-            asks.extend(std::mem::take(&mut bucket.queue));
-            asks.into_iter()
-                .for_each(|it| fail(cx, state, it, after, &why));
+            requests.extend(std::mem::take(&mut bucket.queue));
+            requests
+                .into_iter()
+                .for_each(|it| respond_failed(cx, state, it, after, &why));
         }
-        // Another owner wrote first.
+        // Another owner wrote the row first.
         TableAnswer::Conflict(_) => {
             bucket.pace = bucket.pace.slower();
-            bucket.due = cx.now + bucket.pace.wait(cx.rng);
-            bucket.row = Known::Nothing;
-            requeue(bucket, asks);
+            bucket.next_write = cx.now + bucket.pace.wait(cx.rng);
+            bucket.row = RowState::Unknown;
+            requeue(bucket, requests);
         }
-        TableAnswer::Committed | TableAnswer::Rows(_) => requeue(bucket, asks),
+        TableAnswer::Committed | TableAnswer::Rows(_) => requeue(bucket, requests),
     }
 }
 
-/// A read of the row came back.
-fn loaded(cx: &mut Context<'_>, state: &mut State, id: u16, read: u64, answer: &TableAnswer) {
+/// Handles the answer to a read of the row.
+fn handle_read(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    id: u16,
+    read_number: u64,
+    answer: &TableAnswer,
+) {
     let Some(bucket) = state.once.buckets.get_mut(&id) else {
         return;
     };
     let (after, why) = match answer {
         TableAnswer::Rows(rows) => {
-            load(cx, bucket, id, read, rows);
-            if !matches!(bucket.row, Known::Nothing) {
+            load_row(cx, bucket, id, read_number, rows);
+            if !matches!(bucket.row, RowState::Unknown) {
                 return;
             }
-            let why = "this bucket's row is damaged; upgrade this node";
-            (GRANT_MS, why.to_owned())
+            let why = "this bucket's row cannot be decoded; upgrade this node";
+            (GRANT_TIMEOUT_MS, why.to_owned())
         }
-        TableAnswer::Failed(fault) => (holder::hint(fault), fault.to_string()),
+        TableAnswer::Failed(fault) => (holder::retry_after(fault), fault.to_string()),
         _ => (
-            GRANT_MS,
-            "the table gave an answer of another kind".to_owned(),
+            GRANT_TIMEOUT_MS,
+            "the table gave an answer of the wrong type; retry later".to_owned(),
         ),
     };
-    bucket.down = cx.now + after;
-    for ask in std::mem::take(&mut bucket.queue) {
-        fail(cx, state, ask, after, &why);
+    bucket.down_until = cx.now + after;
+    for request in std::mem::take(&mut bucket.queue) {
+        respond_failed(cx, state, request, after, &why);
     }
 }
 
-fn load(cx: &mut Context<'_>, bucket: &mut Bucket, id: u16, read: u64, rows: &[Row]) {
+fn load_row(cx: &mut Context<'_>, bucket: &mut Bucket, id: u16, read_number: u64, rows: &[Row]) {
     let key = row_key(id);
     let found = rows.iter().find(|it| it.key == key);
     bucket.size = found.map_or(0, |it| it.value.len());
-    let known = |version, ledger| Known::Row {
+    let known = |version, ledger| RowState::Loaded {
         version,
         ledger,
-        read,
+        read_number,
     };
     bucket.row = match found.map(|it| (it.version, Ledger::decode(&it.value))) {
         None => known(ABSENT, Ledger::default()),
@@ -434,45 +475,52 @@
                 "claims-damaged",
                 vec![("row", key), ("error", error.to_string())],
             );
-            Known::Nothing
+            RowState::Unknown
         }
     };
 }
 
-fn requeue(bucket: &mut Bucket, asks: Vec<Ask>) {
-    asks.into_iter()
+fn requeue(bucket: &mut Bucket, requests: Vec<Request>) {
+    requests
+        .into_iter()
         .rev()
         .for_each(|it| bucket.queue.push_front(it));
 }
 
-/// The keys of a segment came.
-fn indexed(cx: &mut Context<'_>, state: &mut State, id: u16, name: String, answer: &ObjectAnswer) {
+/// Handles the answer to a read of a segment's keys.
+fn handle_index(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    id: u16,
+    name: String,
+    answer: &ObjectAnswer,
+) {
     let Some(bucket) = state.once.buckets.get_mut(&id) else {
         return;
     };
-    if bucket.sealer.index(name, answer) {
+    if bucket.sealer.index_segment(name, answer) {
         return;
     }
-    // The segment may have been merged or dropped by another owner meanwhile.
-    bucket.row = Known::Nothing;
-    bucket.down = cx.now + PACE_MS;
-    for ask in std::mem::take(&mut bucket.queue) {
-        fail(
+    // Another owner may have merged or dropped the segment in the meantime.
+    bucket.row = RowState::Unknown;
+    bucket.down_until = cx.now + WRITE_INTERVAL_MS;
+    for request in std::mem::take(&mut bucket.queue) {
+        respond_failed(
             cx,
             state,
-            ask,
-            PACE_MS,
-            "older claims cannot be read; retry later",
+            request,
+            WRITE_INTERVAL_MS,
+            "the bucket's older claims cannot be read; retry later",
         );
     }
 }
 
-/// How the process that holds `entry` is, as far as this node knows.
-fn process(members: &Members, entry: &Entry) -> Process {
+/// Returns the state of the process that holds `entry`, as far as this node knows.
+fn holder_state(members: &Members, entry: &Entry) -> HolderState {
     let mut alive = members.alive();
     match alive.find(|it| it.id == entry.holder) {
-        Some(it) if it.incarnation > entry.incarnation => Process::Restarted,
-        Some(_) => Process::Lives,
-        None => Process::Absent,
+        Some(it) if it.incarnation > entry.incarnation => HolderState::Restarted,
+        Some(_) => HolderState::Alive,
+        None => HolderState::Absent,
     }
 }
--- a/crates/kernel/src/once/bucket/answer.rs
+++ b/crates/kernel/src/once/bucket/answer.rs
@@ -1,37 +1,43 @@
-//! Answers to the requests that waited for a bucket.
+//! Responds to the requests that waited for a bucket.
 
-use super::{Ask, Work, Written, process};
+use super::{Request, Work, Written, holder_state};
 use crate::{
     event,
     kernel::{Context, State},
     once::{
-        Message, PACE_MS, Reply, Verdict, holder,
-        ledger::{Decision, Entry, judge},
+        Message, Reply, Verdict, WRITE_INTERVAL_MS, holder,
+        ledger::{Decision, Entry, existing_verdict},
         reply,
     },
     platform::ObjectAnswer,
 };
 
-pub(super) enum Said {
+/// The response to one request.
+pub(super) enum Response {
     Verdict(Verdict),
     Settled,
     Resolved,
     Refused(String),
 }
 
-impl Said {
-    /// Whether it tells that something is written.
-    pub(super) fn promises(&self) -> bool {
+impl Response {
+    /// Returns whether the response confirms a write.
+    pub(super) fn confirms_write(&self) -> bool {
         matches!(
             self,
-            Said::Verdict(Verdict::Granted) | Said::Settled | Said::Resolved
+            Response::Verdict(Verdict::Granted) | Response::Settled | Response::Resolved
         )
     }
 }
 
-/// A segment that may hold a claim's key came.
-pub(super) fn looked(cx: &mut Context<'_>, state: &mut State, ask: Ask, answer: &ObjectAnswer) {
-    let Work::Claim(_, claim) = &ask.work else {
+/// Decides on a claim with the segment that may hold its key.
+pub(super) fn handle_lookup(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    request: Request,
+    answer: &ObjectAnswer,
+) {
+    let Work::Claim(_, claim) = &request.work else {
         return;
     };
     let entries = match answer {
@@ -39,56 +45,72 @@
         _ => None,
     };
     let Some(entries) = entries else {
-        return fail(
+        return respond_failed(
             cx,
             state,
-            ask,
-            PACE_MS,
-            "the kept answer cannot be read; retry later",
+            request,
+            WRITE_INTERVAL_MS,
+            "older claims of this bucket cannot be read; retry later",
         );
     };
     let verdict = match entries.iter().find(|it| it.key == claim.key) {
-        Some(it) => judge(cx.now, it, claim, |it| process(&state.members, it)),
-        // Another key has the same hash. Refusing is safe, and at 64 bits it all but never happens.
+        Some(it) => existing_verdict(cx.now, it, claim, |it| holder_state(&state.members, it)),
+        // Another key has the same hash. Refusing is safe, and collisions of 64 bits are very rare.
         None => Verdict::Mismatch,
     };
-    say(cx, state, ask, Said::Verdict(verdict));
+    respond(cx, state, request, Response::Verdict(verdict));
 }
 
-/// Answers a request whose write took effect.
-pub(super) fn confirm(cx: &mut Context<'_>, state: &mut State, ask: Ask) {
-    let said = match &ask.work {
-        Work::Claim(..) => Said::Verdict(Verdict::Granted),
-        Work::Settle(..) => Said::Settled,
-        Work::Resolve(..) => Said::Resolved,
+/// Responds to a request whose write took effect.
+pub(super) fn respond_written(cx: &mut Context<'_>, state: &mut State, request: Request) {
+    let response = match &request.work {
+        Work::Claim(..) => Response::Verdict(Verdict::Granted),
+        Work::Settle(..) => Response::Settled,
+        Work::Resolve(..) => Response::Resolved,
     };
-    say(cx, state, ask, said);
+    respond(cx, state, request, response);
 }
 
-/// Answers a request for which nothing, or nothing for sure, was written.
-pub(super) fn fail(cx: &mut Context<'_>, state: &mut State, ask: Ask, after: u64, why: &str) {
-    match (&ask.work, ask.written) {
-        (Work::Claim(..), Written::Perhaps) => {
-            say(cx, state, ask, Said::Verdict(Verdict::Doubt { after }));
+/// Responds to a request that was not written, or not certainly.
+pub(super) fn respond_failed(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    request: Request,
+    after: u64,
+    why: &str,
+) {
+    match (&request.work, request.written) {
+        (Work::Claim(..), Written::Maybe) => {
+            respond(
+                cx,
+                state,
+                request,
+                Response::Verdict(Verdict::Doubt { after }),
+            );
         }
-        (Work::Claim(..), Written::No) => say(cx, state, ask, unavailable(after, why)),
-        // Its holder sends it again until it is kept.
+        (Work::Claim(..), Written::No) => respond(cx, state, request, unavailable(after, why)),
+        // The holder sends it again until it is stored.
         (Work::Settle(..), _) => {}
-        (Work::Resolve(..), _) => say(cx, state, ask, Said::Refused(why.to_owned())),
+        (Work::Resolve(..), _) => respond(cx, state, request, Response::Refused(why.to_owned())),
     }
 }
 
-pub(super) fn unavailable(after: u64, why: &str) -> Said {
+pub(super) fn unavailable(after: u64, why: &str) -> Response {
     let why = why.to_owned();
-    Said::Verdict(Verdict::Unavailable { after, why })
+    Response::Verdict(Verdict::Unavailable { after, why })
 }
 
-pub(super) fn say(cx: &mut Context<'_>, state: &mut State, ask: Ask, said: Said) {
-    match (ask.work, said) {
-        (Work::Claim(from, claim), Said::Verdict(verdict)) => {
+pub(super) fn respond(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    request: Request,
+    response: Response,
+) {
+    match (request.work, response) {
+        (Work::Claim(from, claim), Response::Verdict(verdict)) => {
             let attempt = claim.attempt;
             if from == cx.settings.node {
-                return holder::verdict(cx, state, attempt, &verdict);
+                return holder::handle_verdict(cx, state, attempt, &verdict);
             }
             let message = Message::Verdict { attempt, verdict };
             cx.send(from, event::Message::Once(message));
@@ -96,11 +118,13 @@
         (Work::Settle(from, it), _) => {
             let attempt = it.attempt;
             if from == cx.settings.node {
-                return holder::settled(cx, state, attempt);
+                return holder::handle_settled(cx, state, attempt);
             }
             cx.send(from, event::Message::Once(Message::Settled { attempt }));
         }
-        (Work::Resolve(token, _), Said::Refused(why)) => reply(cx, token, Reply::Refused { why }),
+        (Work::Resolve(token, _), Response::Refused(why)) => {
+            reply(cx, token, Reply::Refused { why })
+        }
         (Work::Resolve(token, it), _) => {
             audit(cx, &it);
             reply(cx, token, Reply::Resolved);
--- a/crates/kernel/src/once/bucket/decide.rs
+++ b/crates/kernel/src/once/bucket/decide.rs
@@ -1,32 +1,32 @@
-//! What becomes of the requests that wait for a bucket.
+//! Decides on the requests that wait for a bucket.
 
 use super::{
-    Ask, BATCH_MAX, Known, Work, Written,
-    answer::{Said, say, unavailable},
-    process, pump, write,
+    BATCH_MAX, Request, RowState, Work, Written,
+    answer::{Response, respond, unavailable},
+    holder_state, start_next, write,
 };
 use crate::{
     kernel::{Context, State},
     members::Members,
     once::{
-        GRANT_MS, PACE_MS, Verdict,
+        GRANT_TIMEOUT_MS, Verdict, WRITE_INTERVAL_MS,
         ledger::{Effect, Entry, Ledger},
         seal::Sealer,
     },
     platform::ObjectOp,
 };
 
-/// What to do with one request.
-enum Next {
-    /// Answer it now.
-    Say(Said),
-    /// Answer it once the row is written.
+/// The next step for one request.
+enum Action {
+    /// Respond now.
+    Respond(Response),
+    /// Respond once the row is written.
     Write,
-    /// Read the row again first.
+    /// Read the row again and decide then.
     Reread,
-    /// Look into this segment.
+    /// Read this segment, which may hold the key.
     Lookup(String),
-    /// Nobody waits for it any more.
+    /// Do nothing; the holder no longer waits for a response.
     Drop,
 }
 
@@ -35,102 +35,113 @@
     let Some(bucket) = state.once.buckets.get_mut(&id) else {
         return;
     };
-    let Known::Row {
+    let RowState::Loaded {
         version,
         ledger: before,
-        read,
+        read_number,
     } = std::mem::take(&mut bucket.row)
     else {
         return;
     };
     let mut after = before.clone();
     let mut dropped = after.expire(cx.now, cx.settings.once.retention);
-    dropped.extend(bucket.sealer.apply(&mut after));
-    let count = bucket.queue.len().min(BATCH_MAX);
-    let batch: Vec<Ask> = bucket.queue.drain(..count).collect();
-    let full = bucket.full(cx, id);
-    let (mut asks, mut says, mut again) = (Vec::new(), Vec::new(), Vec::new());
-    for ask in batch {
-        let claims = matches!(ask.work, Work::Claim(..));
-        if full && claims && ask.written == Written::No {
+    dropped.extend(bucket.sealer.apply_job(&mut after));
+    let batch_size = bucket.queue.len().min(BATCH_MAX);
+    let batch: Vec<Request> = bucket.queue.drain(..batch_size).collect();
+    let is_full = bucket.is_full(cx, id);
+    let (mut requests, mut responses, mut rereads) = (Vec::new(), Vec::new(), Vec::new());
+    for request in batch {
+        let is_claim = matches!(request.work, Work::Claim(..));
+        if is_full && is_claim && request.written == Written::No {
             let why = "this bucket is full: resolve unknown claims or shorten the retention";
-            says.push((ask, unavailable(PACE_MS, why)));
+            responses.push((request, unavailable(WRITE_INTERVAL_MS, why)));
             continue;
         }
-        match judge_ask(cx, &state.members, &bucket.sealer, &mut after, read, &ask) {
-            // A request that is sent twice meets its own change, which is not written yet: to say so now
-            // would grant a claim whose write may still collide.
-            Next::Say(said) if said.promises() && after != before => asks.push(ask),
-            Next::Say(said) => says.push((ask, said)),
-            Next::Write => asks.push(ask),
-            Next::Reread => again.push(ask),
-            Next::Lookup(name) => {
+        match decide_request(
+            cx,
+            &state.members,
+            &bucket.sealer,
+            &mut after,
+            read_number,
+            &request,
+        ) {
+            // A request that was sent twice finds its own change, which is not written yet. Confirming it now
+            // could grant a claim whose write fails.
+            Action::Respond(response) if response.confirms_write() && after != before => {
+                requests.push(request)
+            }
+            Action::Respond(response) => responses.push((request, response)),
+            Action::Write => requests.push(request),
+            Action::Reread => rereads.push(request),
+            Action::Lookup(name) => {
                 let call = cx.object(ObjectOp::Get { name });
-                bucket.lookups.insert(call, ask);
+                bucket.lookups.insert(call, request);
             }
-            Next::Drop => {}
+            Action::Drop => {}
         }
     }
-    let reread = !again.is_empty();
-    again
+    let must_reread = !rereads.is_empty();
+    rereads
         .into_iter()
         .rev()
         .for_each(|it| bucket.queue.push_front(it));
     if after != before {
-        write(cx, bucket, id, version, after, asks, dropped);
+        write(cx, bucket, id, version, after, requests, dropped);
     }
-    if !reread || bucket.flight.is_some() {
-        bucket.row = Known::Row {
+    if !must_reread || bucket.in_flight.is_some() {
+        bucket.row = RowState::Loaded {
             version,
             ledger: before,
-            read,
+            read_number,
         };
     }
-    for (ask, said) in says {
-        say(cx, state, ask, said);
+    for (request, response) in responses {
+        respond(cx, state, request, response);
     }
-    pump(cx, state, id);
+    start_next(cx, state, id);
 }
 
-fn judge_ask(
+fn decide_request(
     cx: &Context<'_>,
     members: &Members,
     sealer: &Sealer,
     ledger: &mut Ledger,
-    read: u64,
-    ask: &Ask,
-) -> Next {
-    let process = |it: &Entry| process(members, it);
-    let stale = ask.number > read;
-    match &ask.work {
-        // Its holder has given up by now: a claim that is written for it would stay open for nothing.
-        Work::Claim(..) if cx.now.since(ask.since) > GRANT_MS => Next::Drop,
+    read_number: u64,
+    request: &Request,
+) -> Action {
+    let holder_state = |it: &Entry| holder_state(members, it);
+    let is_stale = request.number > read_number;
+    match &request.work {
+        // The holder has given up by now; a claim written for it would stay open.
+        Work::Claim(..) if cx.now.since(request.since) > GRANT_TIMEOUT_MS => Action::Drop,
         Work::Claim(_, claim) => {
-            let sealed = ledger.find(&claim.key).is_none();
-            if sealed && let Some(name) = sealer.find(&claim.key) {
-                return Next::Lookup(name);
+            let not_in_row = ledger.find(&claim.key).is_none();
+            if not_in_row && let Some(name) = sealer.find_segment(&claim.key) {
+                return Action::Lookup(name);
             }
-            match ledger.claim(cx.now, claim, process) {
-                (_, Effect::Changed) => Next::Write,
-                // What an older row says may have been settled, released or resolved through another node.
-                (Verdict::Busy | Verdict::Unknown { .. } | Verdict::Mismatch, _) if stale => {
-                    Next::Reread
+            match ledger.claim(cx.now, claim, holder_state) {
+                (_, Effect::Changed) => Action::Write,
+                // The claim may have been settled, released or resolved through another node since the read.
+                (Verdict::Busy | Verdict::Unknown { .. } | Verdict::Mismatch, _) if is_stale => {
+                    Action::Reread
                 }
-                (verdict, _) => Next::Say(Said::Verdict(verdict)),
+                (verdict, _) => Action::Respond(Response::Verdict(verdict)),
             }
         }
         Work::Settle(_, it) => match ledger.settle(it) {
-            Effect::Changed => Next::Write,
-            // The claim may have been written by another owner since the row was read.
-            Effect::Missing if stale && sealer.find(&it.key).is_none() => Next::Reread,
-            _ => Next::Say(Said::Settled),
+            Effect::Changed => Action::Write,
+            // Another owner may have written the claim since the row was read.
+            Effect::Missing if is_stale && sealer.find_segment(&it.key).is_none() => Action::Reread,
+            _ => Action::Respond(Response::Settled),
         },
-        Work::Resolve(_, it) => match ledger.resolve(cx.now, it, process) {
-            Effect::Changed => Next::Write,
-            _ if stale => Next::Reread,
-            Effect::Same => Next::Say(Said::Resolved),
-            Effect::Refused(why) => Next::Say(Said::Refused(why.to_owned())),
-            Effect::Missing => Next::Say(Said::Refused("no open claim has this key".to_owned())),
+        Work::Resolve(_, it) => match ledger.resolve(cx.now, it, holder_state) {
+            Effect::Changed => Action::Write,
+            _ if is_stale => Action::Reread,
+            Effect::Same => Action::Respond(Response::Resolved),
+            Effect::Refused(why) => Action::Respond(Response::Refused(why.to_owned())),
+            Effect::Missing => {
+                Action::Respond(Response::Refused("no open claim has this key".to_owned()))
+            }
         },
     }
 }
--- a/crates/kernel/src/once/holder.rs
+++ b/crates/kernel/src/once/holder.rs
@@ -1,4 +1,4 @@
-//! The side that runs requests: asks a bucket's owner for grants and tells it outcomes.
+//! The holder's side of claims: requests grants from the owners of buckets and reports outcomes to them.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,108 +10,107 @@
     kernel::{Context, State},
     members::Record,
     once::{
-        Answer, AttemptId, Claim, Ended, FORWARD_MS, GRANT_MS, INLINE_MAX, KEY_MAX, Kept, Key,
-        Message, Outcome, Reply, Settlement, Verdict, bucket, reply, row_key,
+        Answer, AttemptId, Claim, Ended, FORWARD_TIMEOUT_MS, GRANT_TIMEOUT_MS, INLINE_MAX, KEY_MAX,
+        Key, Message, Outcome, Reply, Settlement, StoredAnswer, Verdict, bucket, reply, row_key,
     },
     platform::{Fault, ObjectAnswer, ObjectOp},
     utils::rendezvous,
 };
 
-/// An outcome that is not acknowledged is sent again after this long, in ms, and then after ever longer.
+/// Initial time until an unacknowledged outcome is sent again, in ms; it doubles with each attempt.
 const RESEND_MS: u64 = 700;
 
-/// The longest time until an outcome is sent again, in ms.
+/// Maximum time until an unacknowledged outcome is sent again, in ms.
 const RESEND_MAX_MS: u64 = 8_000;
 
-/// Every so many times an outcome is sent to another owner than the first choice. It is seldom: when the
-/// table is slow, second writers of a row would only slow it further.
-const DEPUTY_TURNS: u32 = 3;
+/// One in this many attempts to send an outcome goes to the deputy. Rare, because a second writer of a row
+/// would slow a slow table further.
+const DEPUTY_EVERY: u32 = 3;
 
-/// Most claims that wait for a verdict; more are refused.
-const ASKING_MAX: usize = 4_096;
+/// Maximum number of claims that wait for a verdict; more are refused.
+const CLAIMS_MAX: usize = 4_096;
 
-/// Most outcomes that wait to be kept; beyond it new claims are refused.
-const SETTLING_MAX: usize = 4_096;
+/// Maximum number of outcomes that wait to be stored; beyond it new claims are refused.
+const SETTLEMENTS_MAX: usize = 4_096;
 
-/// Most bytes of answers that wait to be kept; beyond it an answer is not kept.
+/// Maximum size of all answers that wait to be stored, in bytes; beyond it an answer is not stored.
 const ANSWERS_MAX: usize = 4 * 1024 * 1024;
 
-/// Most given-up attempts that are remembered.
+/// Maximum number of abandoned attempts that are remembered.
 const ABANDONED_MAX: usize = 4_096;
 
-/// Hint to callers when the fault gives none, in ms.
+/// Time after which callers should retry if the fault names none, in ms.
 const RETRY_MS: u64 = 250;
 
-/// Claims asked for and outcomes not kept yet.
+/// Claims without a verdict and outcomes that are not stored yet.
 #[derive(Debug, Default)]
 pub(super) struct Holder {
-    asking: BTreeMap<AttemptId, Asking>,
-    settling: BTreeMap<AttemptId, Settling>,
-    reading: BTreeMap<CallId, Token>,
-    storing: BTreeMap<CallId, AttemptId>,
-    /// Attempts of which a caller was told that they were not run. A grant that still arrives for one is
-    /// given back; a grant for an attempt that is not here is left alone, so that forgetting is safe.
+    pending: BTreeMap<AttemptId, PendingClaim>,
+    settlements: BTreeMap<AttemptId, PendingSettlement>,
+    answer_reads: BTreeMap<CallId, Token>,
+    answer_writes: BTreeMap<CallId, AttemptId>,
+    /// Attempts that were reported to the caller as not run. A grant that still arrives for one is released;
+    /// a grant for an unlisted attempt is ignored, so entries may be forgotten.
     abandoned: VecDeque<(AttemptId, Key)>,
-    /// Owners by bucket, until the members change: a ranking hashes every member, which for each claim would
-    /// cost more than the claim.
-    targets: BTreeMap<(u16, Turn), NodeId>,
+    /// Cache of the owners by bucket until the members change, because a ranking hashes every member.
+    targets: BTreeMap<(u16, Recipient), NodeId>,
 }
 
 #[derive(Debug)]
-struct Asking {
+struct PendingClaim {
     token: Token,
     claim: Claim,
-    asked: Ms,
-    turn: Turn,
+    since: Ms,
+    recipient: Recipient,
 }
 
-/// Whom the claim was sent to last.
+/// The node that a claim or outcome is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
+enum Recipient {
     Owner,
     Deputy,
 }
 
 #[derive(Debug)]
-struct Settling {
+struct PendingSettlement {
     token: Option<Token>,
     settlement: Settlement,
     sent: Ms,
-    turns: u32,
-    store: Store,
+    attempts: u32,
+    answer_state: AnswerState,
 }
 
-impl Settling {
-    fn turn(&self) -> Turn {
-        match self.turns % DEPUTY_TURNS {
-            2 => Turn::Deputy,
-            _ => Turn::Owner,
+impl PendingSettlement {
+    fn recipient(&self) -> Recipient {
+        match self.attempts % DEPUTY_EVERY {
+            2 => Recipient::Deputy,
+            _ => Recipient::Owner,
         }
     }
 
     fn due(&self) -> Ms {
-        self.sent + (RESEND_MS << self.turns.min(3)).min(RESEND_MAX_MS)
+        self.sent + (RESEND_MS << self.attempts.min(3)).min(RESEND_MAX_MS)
     }
 }
 
-/// Whether a large answer is an object yet.
+/// Whether a large answer is stored as an object.
 #[derive(Debug)]
-enum Store {
-    Done,
-    Waiting(Vec<u8>),
+enum AnswerState {
+    Stored,
+    Unstored(Vec<u8>),
 }
 
 impl Holder {
     pub(super) fn unsettled(&self) -> usize {
-        self.settling.len()
+        self.settlements.len()
     }
 
-    fn answers(&self) -> usize {
-        let size = |it: &Settling| match &it.store {
-            Store::Waiting(bytes) => bytes.len(),
-            Store::Done => 0,
+    fn unstored_bytes(&self) -> usize {
+        let size = |it: &PendingSettlement| match &it.answer_state {
+            AnswerState::Unstored(bytes) => bytes.len(),
+            AnswerState::Stored => 0,
         };
-        self.settling.values().map(size).sum()
+        self.settlements.values().map(size).sum()
     }
 
     fn abandon(&mut self, claim: &Claim) {
@@ -121,7 +120,7 @@
         self.abandoned.push_back((claim.attempt, claim.key.clone()));
     }
 
-    fn abandoned(&self, attempt: AttemptId) -> Option<Key> {
+    fn abandoned_key(&self, attempt: AttemptId) -> Option<Key> {
         let mut found = self.abandoned.iter().filter(|it| it.0 == attempt);
         found.next().map(|it| it.1.clone())
     }
@@ -140,8 +139,8 @@
         let why = format!("the Idempotency-Key must have 1 to {KEY_MAX} bytes");
         return reply(cx, token, Reply::Unavailable { after: 0, why });
     }
-    if holder.asking.len() >= ASKING_MAX || holder.settling.len() >= SETTLING_MAX {
-        let why = "too many claims wait for the table; retry later".to_owned();
+    if holder.pending.len() >= CLAIMS_MAX || holder.settlements.len() >= SETTLEMENTS_MAX {
+        let why = "too many claims are waiting on this node; retry later".to_owned();
         let after = RETRY_MS;
         return reply(cx, token, Reply::Unavailable { after, why });
     }
@@ -152,57 +151,59 @@
         holder: cx.settings.node,
         incarnation: state.members.own().incarnation,
     };
-    let asking = Asking {
+    let pending = PendingClaim {
         token,
         claim: claim.clone(),
-        asked: cx.now,
-        turn: Turn::Owner,
+        since: cx.now,
+        recipient: Recipient::Owner,
     };
-    // The same attempt asked for twice would be granted twice.
-    if holder.asking.contains_key(&attempt) || holder.abandoned(attempt).is_some() {
-        let why = "this attempt was asked for already; use a new attempt id".to_owned();
+    // An attempt that is claimed twice would be granted twice.
+    if holder.pending.contains_key(&attempt) || holder.abandoned_key(attempt).is_some() {
+        let why = "this attempt id was used before; use a new one".to_owned();
         return reply(cx, token, Reply::Unavailable { after: 0, why });
     }
-    holder.asking.insert(attempt, asking);
-    send_claim(cx, state, claim, Turn::Owner);
+    holder.pending.insert(attempt, pending);
+    send_claim(cx, state, claim, Recipient::Owner);
 }
 
-pub(super) fn verdict(
+pub(super) fn handle_verdict(
     cx: &mut Context<'_>,
     state: &mut State,
     attempt: AttemptId,
     verdict: &Verdict,
 ) {
-    let Some(asking) = state.once.holder.asking.remove(&attempt) else {
+    let Some(pending) = state.once.holder.pending.remove(&attempt) else {
         if *verdict == Verdict::Granted {
-            give_back(cx, state, attempt);
+            release_grant(cx, state, attempt);
         }
         return;
     };
-    let until = asking.asked + GRANT_MS;
-    let token = asking.token;
+    let until = pending.since + GRANT_TIMEOUT_MS;
+    let token = pending.token;
     if *verdict != Verdict::Granted {
-        // Another owner may have been asked before, and its grant may still be on the way.
-        state.once.holder.abandon(&asking.claim);
+        // The claim may have been sent to another owner before, whose grant may still arrive.
+        state.once.holder.abandon(&pending.claim);
     }
     match verdict {
         Verdict::Granted if cx.now <= until => reply(cx, token, Reply::Granted { until }),
-        Verdict::Granted => give_up(cx, state, asking, "the grant came too late; retry"),
+        Verdict::Granted => abandon_claim(cx, state, pending, "the grant arrived too late; retry"),
         Verdict::Doubt { .. } => {
-            give_up(
+            abandon_claim(
                 cx,
                 state,
-                asking,
+                pending,
                 "the table's answer was lost; retry later",
             );
         }
-        Verdict::Ran(Kept::Inline(answer)) => reply(cx, token, Reply::Replay(answer.clone())),
-        Verdict::Ran(Kept::Object { name }) => {
+        Verdict::Ran(StoredAnswer::Inline(answer)) => {
+            reply(cx, token, Reply::Replay(answer.clone()))
+        }
+        Verdict::Ran(StoredAnswer::Object { name }) => {
             let call = cx.object(ObjectOp::Get { name: name.clone() });
-            state.once.holder.reading.insert(call, token);
+            state.once.holder.answer_reads.insert(call, token);
         }
-        Verdict::Ran(Kept::Lost) => {
-            let why = "it ran, but its answer could not be kept".to_owned();
+        Verdict::Ran(StoredAnswer::Lost) => {
+            let why = "the request ran, but its answer could not be stored".to_owned();
             reply(cx, token, Reply::Unknown { why });
         }
         Verdict::Busy => reply(cx, token, Reply::Busy { after: RETRY_MS }),
@@ -223,12 +224,12 @@
     attempt: AttemptId,
     ended: &Ended,
 ) {
-    let (outcome, store) = match ended {
-        Ended::NotRun => (Outcome::NotRun, Store::Done),
-        Ended::Unknown => (Outcome::Unknown, Store::Done),
-        Ended::Ran(answer) => keep(&state.once.holder, attempt, answer),
+    let (outcome, answer_state) = match ended {
+        Ended::NotRun => (Outcome::NotRun, AnswerState::Stored),
+        Ended::Unknown => (Outcome::Unknown, AnswerState::Stored),
+        Ended::Ran(answer) => prepare_answer(&state.once.holder, attempt, answer),
     };
-    let settling = Settling {
+    let pending = PendingSettlement {
         token: Some(token),
         settlement: Settlement {
             key: key.clone(),
@@ -236,97 +237,107 @@
             outcome,
         },
         sent: cx.now,
-        turns: 0,
-        store,
+        attempts: 0,
+        answer_state,
     };
-    state.once.holder.settling.insert(attempt, settling);
-    advance(cx, state, attempt);
+    state.once.holder.settlements.insert(attempt, pending);
+    send_settlement(cx, state, attempt);
 }
 
-pub(super) fn settled(cx: &mut Context<'_>, state: &mut State, attempt: AttemptId) {
-    if let Some(it) = state.once.holder.settling.remove(&attempt)
+pub(super) fn handle_settled(cx: &mut Context<'_>, state: &mut State, attempt: AttemptId) {
+    if let Some(it) = state.once.holder.settlements.remove(&attempt)
         && let Some(token) = it.token
     {
         reply(cx, token, Reply::Settled);
     }
 }
 
-pub(super) fn object(cx: &mut Context<'_>, state: &mut State, call: CallId, answer: &ObjectAnswer) {
+pub(super) fn handle_object_answer(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    call: CallId,
+    answer: &ObjectAnswer,
+) {
     let holder = &mut state.once.holder;
-    if let Some(token) = holder.reading.remove(&call) {
-        return replay(cx, token, answer);
+    if let Some(token) = holder.answer_reads.remove(&call) {
+        return reply_with_answer(cx, token, answer);
     }
-    let Some(attempt) = holder.storing.remove(&call) else {
+    let Some(attempt) = holder.answer_writes.remove(&call) else {
         return;
     };
     if *answer == ObjectAnswer::Done {
-        if let Some(it) = holder.settling.get_mut(&attempt) {
-            it.store = Store::Done;
+        if let Some(it) = holder.settlements.get_mut(&attempt) {
+            it.answer_state = AnswerState::Stored;
         }
-        advance(cx, state, attempt);
+        send_settlement(cx, state, attempt);
     }
 }
 
 pub(super) fn tick(cx: &mut Context<'_>, state: &mut State) {
     let now = cx.now;
     let holder = &mut state.once.holder;
-    let late = |it: &Asking| now.since(it.asked) > GRANT_MS;
-    let expired = crate::utils::take_due(&mut holder.asking, |_, it| late(it));
-    let mut again = Vec::new();
-    for it in holder.asking.values_mut() {
-        if it.turn == Turn::Owner && now.since(it.asked) > FORWARD_MS {
-            it.turn = Turn::Deputy;
-            again.push(it.claim.clone());
+    let is_late = |it: &PendingClaim| now.since(it.since) > GRANT_TIMEOUT_MS;
+    let expired = crate::utils::take_due(&mut holder.pending, |_, it| is_late(it));
+    let mut to_deputy = Vec::new();
+    for it in holder.pending.values_mut() {
+        if it.recipient == Recipient::Owner && now.since(it.since) > FORWARD_TIMEOUT_MS {
+            it.recipient = Recipient::Deputy;
+            to_deputy.push(it.claim.clone());
         }
     }
     let mut resend = Vec::new();
-    for (attempt, it) in &mut holder.settling {
+    for (attempt, it) in &mut holder.settlements {
         if now > it.due() {
             it.sent = now;
-            it.turns += 1;
+            it.attempts += 1;
             resend.push(*attempt);
         }
     }
     for (_, it) in expired {
-        give_up(cx, state, it, "no owner answered in time; retry later");
+        abandon_claim(
+            cx,
+            state,
+            it,
+            "no owner of the bucket answered in time; retry later",
+        );
     }
-    for it in again {
-        // A slow table would only be slowed further by a second writer.
-        if target(cx, state, &it.key, Turn::Owner) != cx.settings.node {
-            send_claim(cx, state, it, Turn::Deputy);
+    for it in to_deputy {
+        // A second writer would slow a slow table further.
+        if target(cx, state, &it.key, Recipient::Owner) != cx.settings.node {
+            send_claim(cx, state, it, Recipient::Deputy);
         }
     }
     for it in resend {
-        advance(cx, state, it);
+        send_settlement(cx, state, it);
     }
 }
 
-/// A node that was paused has kept its callers waiting, and a grant that now lies in its queue may be as
-/// old as the pause. The callers are told that nothing was run and the grants are given back.
-pub(super) fn paused(cx: &mut Context<'_>, state: &mut State) {
-    for (_, it) in std::mem::take(&mut state.once.holder.asking) {
-        give_up(cx, state, it, "this node was paused; retry");
+/// Abandons all pending claims after a pause of this process, because their grants may be as old as the pause.
+/// The callers learn that nothing was run, and late grants are released.
+pub(super) fn handle_pause(cx: &mut Context<'_>, state: &mut State) {
+    for (_, it) in std::mem::take(&mut state.once.holder.pending) {
+        abandon_claim(cx, state, it, "this node was paused; retry");
     }
 }
 
-fn give_up(cx: &mut Context<'_>, state: &mut State, asking: Asking, why: &str) {
-    let attempt = asking.claim.attempt;
+fn abandon_claim(cx: &mut Context<'_>, state: &mut State, pending: PendingClaim, why: &str) {
+    let attempt = pending.claim.attempt;
     let (after, why) = (RETRY_MS, why.to_owned());
-    reply(cx, asking.token, Reply::Unavailable { after, why });
-    state.once.holder.abandon(&asking.claim);
-    release(cx, state, asking.claim.key, attempt);
+    reply(cx, pending.token, Reply::Unavailable { after, why });
+    state.once.holder.abandon(&pending.claim);
+    release_claim(cx, state, pending.claim.key, attempt);
 }
 
-/// A grant for an attempt that was given up. It surely never ran, because only the answer to its caller
-/// lets it run and the caller was told that it did not.
-fn give_back(cx: &mut Context<'_>, state: &mut State, attempt: AttemptId) {
-    if let Some(key) = state.once.holder.abandoned(attempt) {
-        release(cx, state, key, attempt);
+/// Releases a grant for an abandoned attempt. Its request never ran, because its caller was told that it did
+/// not get a grant.
+fn release_grant(cx: &mut Context<'_>, state: &mut State, attempt: AttemptId) {
+    if let Some(key) = state.once.holder.abandoned_key(attempt) {
+        release_claim(cx, state, key, attempt);
     }
 }
 
-fn release(cx: &mut Context<'_>, state: &mut State, key: Key, attempt: AttemptId) {
-    let settling = Settling {
+fn release_claim(cx: &mut Context<'_>, state: &mut State, key: Key, attempt: AttemptId) {
+    let pending = PendingSettlement {
         token: None,
         settlement: Settlement {
             key,
@@ -334,103 +345,109 @@
             outcome: Outcome::NotRun,
         },
         sent: cx.now,
-        turns: 0,
-        store: Store::Done,
+        attempts: 0,
+        answer_state: AnswerState::Stored,
     };
-    state.once.holder.settling.insert(attempt, settling);
-    advance(cx, state, attempt);
+    state.once.holder.settlements.insert(attempt, pending);
+    send_settlement(cx, state, attempt);
 }
 
-fn keep(holder: &Holder, attempt: AttemptId, answer: &Answer) -> (Outcome, Store) {
+fn prepare_answer(holder: &Holder, attempt: AttemptId, answer: &Answer) -> (Outcome, AnswerState) {
     let bytes = postcard::to_stdvec(answer).expect("an answer encodes");
     if bytes.len() <= INLINE_MAX {
-        return (Outcome::Ran(Kept::Inline(answer.clone())), Store::Done);
+        return (
+            Outcome::Ran(StoredAnswer::Inline(answer.clone())),
+            AnswerState::Stored,
+        );
     }
-    if holder.answers() + bytes.len() > ANSWERS_MAX {
-        return (Outcome::Ran(Kept::Lost), Store::Done);
+    if holder.unstored_bytes() + bytes.len() > ANSWERS_MAX {
+        return (Outcome::Ran(StoredAnswer::Lost), AnswerState::Stored);
     }
     let name = format!("answer/{:032x}", attempt.0);
-    (Outcome::Ran(Kept::Object { name }), Store::Waiting(bytes))
+    (
+        Outcome::Ran(StoredAnswer::Object { name }),
+        AnswerState::Unstored(bytes),
+    )
 }
 
-/// Stores the answer of a settlement, or sends the settlement if that is done.
-fn advance(cx: &mut Context<'_>, state: &mut State, attempt: AttemptId) {
-    let Some(it) = state.once.holder.settling.get(&attempt) else {
+/// Stores the answer of a settlement first, or sends the settlement if its answer is stored.
+fn send_settlement(cx: &mut Context<'_>, state: &mut State, attempt: AttemptId) {
+    let Some(it) = state.once.holder.settlements.get(&attempt) else {
         return;
     };
-    if let (Store::Waiting(bytes), Outcome::Ran(Kept::Object { name })) =
-        (&it.store, &it.settlement.outcome)
+    if let (AnswerState::Unstored(bytes), Outcome::Ran(StoredAnswer::Object { name })) =
+        (&it.answer_state, &it.settlement.outcome)
     {
         let (name, bytes) = (name.clone(), bytes.clone());
         let call = cx.object(ObjectOp::Put { name, bytes });
-        state.once.holder.storing.insert(call, attempt);
+        state.once.holder.answer_writes.insert(call, attempt);
         return;
     }
-    let (settlement, turn) = (it.settlement.clone(), it.turn());
-    match target(cx, state, &settlement.key, turn) {
+    let (settlement, recipient) = (it.settlement.clone(), it.recipient());
+    match target(cx, state, &settlement.key, recipient) {
         to if to == cx.settings.node => bucket::settle(cx, state, to, settlement),
         to => cx.send(to, event::Message::Once(Message::Settle(settlement))),
     }
 }
 
-fn send_claim(cx: &mut Context<'_>, state: &mut State, claim: Claim, turn: Turn) {
-    match target(cx, state, &claim.key, turn) {
+fn send_claim(cx: &mut Context<'_>, state: &mut State, claim: Claim, recipient: Recipient) {
+    match target(cx, state, &claim.key, recipient) {
         to if to == cx.settings.node => bucket::claim(cx, state, to, claim),
         to => cx.send(to, event::Message::Once(Message::Claim(claim))),
     }
 }
 
-/// The members changed.
-pub(super) fn forget_targets(state: &mut State) {
+/// Clears the cached owners after a change of the members.
+pub(super) fn clear_targets(state: &mut State) {
     state.once.holder.targets.clear();
 }
 
-/// The node to commit for a bucket. The first choice is the same for the whole fleet, so that a row has
-/// one writer; the second is a node of this region, in case the regions have lost each other.
-fn target(cx: &Context<'_>, state: &mut State, key: &Key, turn: Turn) -> NodeId {
-    let place = (key.bucket(), turn);
-    if let Some(known) = state.once.holder.targets.get(&place) {
+/// Returns the node that commits for a bucket. All nodes choose the same owner, so that a row has one writer;
+/// the deputy is a node of this region, for a partition between regions.
+fn target(cx: &Context<'_>, state: &mut State, key: &Key, recipient: Recipient) -> NodeId {
+    let cache_key = (key.bucket(), recipient);
+    if let Some(known) = state.once.holder.targets.get(&cache_key) {
         return *known;
     }
-    let row = row_key(place.0);
-    let found = match turn {
-        Turn::Owner => {
+    let row = row_key(cache_key.0);
+    let found = match recipient {
+        Recipient::Owner => {
             let ready = state.members.ready().map(|it| it.id);
             rendezvous(&row, ready).first().copied()
         }
-        Turn::Deputy => {
-            let owner = target(cx, state, key, Turn::Owner);
+        Recipient::Deputy => {
+            let owner = target(cx, state, key, Recipient::Owner);
             let near = |it: &&Record| it.region == cx.settings.region && it.id != owner;
             let ready = state.members.ready().filter(near).map(|it| it.id);
             rendezvous(&row, ready).first().copied()
         }
     };
     let node = found.unwrap_or(cx.settings.node);
-    state.once.holder.targets.insert(place, node);
+    state.once.holder.targets.insert(cache_key, node);
     node
 }
 
-fn replay(cx: &mut Context<'_>, token: Token, answer: &ObjectAnswer) {
-    let said = match answer {
+fn reply_with_answer(cx: &mut Context<'_>, token: Token, answer: &ObjectAnswer) {
+    let response = match answer {
         ObjectAnswer::Bytes(bytes) => match postcard::from_bytes(bytes) {
             Ok(answer) => Reply::Replay(answer),
             Err(_) => Reply::Unknown {
-                why: "it ran, but its kept answer is damaged".to_owned(),
+                why: "the request ran, but its stored answer cannot be decoded".to_owned(),
             },
         },
         ObjectAnswer::Failed(fault) => Reply::Unavailable {
-            after: hint(fault),
+            after: retry_after(fault),
             why: fault.to_string(),
         },
         ObjectAnswer::Absent | ObjectAnswer::Done => Reply::Unknown {
-            why: "it ran, but its answer is no longer kept".to_owned(),
+            why: "the request ran, but its answer is no longer stored".to_owned(),
         },
     };
-    reply(cx, token, said);
+    reply(cx, token, response);
 }
 
-/// When to try again after `fault`, in ms.
-pub(super) fn hint(fault: &Fault) -> u64 {
+/// Returns the time to wait before a retry after `fault`, in ms.
+pub(super) fn retry_after(fault: &Fault) -> u64 {
     match fault {
         Fault::Throttled { after } => (*after).max(RETRY_MS),
         _ => RETRY_MS,
--- a/crates/kernel/src/once/ledger.rs
+++ b/crates/kernel/src/once/ledger.rs
@@ -1,4 +1,4 @@
-//! A bucket's row: its claims and what is allowed to happen to them.
+//! The row of a bucket: its claims and their state transitions.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,15 +6,18 @@
     clock::Ms,
     guard::Fingerprint,
     id::NodeId,
-    once::{ABSENT_MS, Answer, AttemptId, Claim, Key, OPEN_MS, Resolution, Settlement, Verdict},
+    once::{
+        ABSENT_GRACE_MS, Answer, AttemptId, Claim, Key, OPEN_TIMEOUT_MS, Resolution, Settlement,
+        Verdict,
+    },
 };
 
 /// The value of a bucket's row.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Objects that hold older settled claims, oldest first.
+    /// Objects that hold the older settled claims, oldest first.
     pub segments: Vec<Segment>,
-    /// Open claims and the newest settled ones, oldest first.
+    /// Open claims and the most recent settled ones, oldest first.
     pub entries: Vec<Entry>,
 }
 
@@ -23,9 +26,9 @@
 pub struct Segment {
     /// Name of the object.
     pub name: String,
-    /// How often its claims were merged with others.
+    /// Number of merges that its claims went through.
     pub level: u8,
-    /// When its newest claim was made; it is kept for the retention from then on.
+    /// Time of its newest claim; the retention counts from it.
     pub last: Ms,
     /// Number of its claims.
     pub count: u32,
@@ -34,60 +37,60 @@
 /// One claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// What is claimed.
+    /// The claimed key.
     pub key: Key,
-    /// The attempt that holds it.
+    /// The attempt that holds the claim.
     pub attempt: AttemptId,
-    /// The node that runs it.
+    /// The node that runs the request.
     pub holder: NodeId,
-    /// The process of the holder.
+    /// Incarnation of the holder's process.
     pub incarnation: u64,
     /// Digest of the request.
     pub print: Fingerprint,
-    /// When it was claimed, by the clock of the bucket's owner.
+    /// Time of the claim by the clock of the bucket's owner.
     pub time: Ms,
-    /// What became of it.
+    /// State of the claim.
     pub phase: Phase,
 }
 
-/// What became of a claim.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Its holder may be running it.
+    /// The holder may be running the request.
     Open,
-    /// Its holder told that the outcome is unknown.
+    /// The holder reported an unknown outcome.
     Unknown,
-    /// It ran.
-    Ran(Kept),
-    /// An operator said that it ran.
+    /// The request ran.
+    Ran(StoredAnswer),
+    /// An operator decided that the request ran.
     Resolved { author: String, note: String },
-    /// An operator allowed another run; the entry stays as a record until then.
+    /// An operator allowed another run; the entry remains as a record until then.
     Released { author: String, note: String },
 }
 
-/// How an answer is kept.
+/// Where an answer is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kept {
-    /// Within the claim.
+pub enum StoredAnswer {
+    /// In the claim itself.
     Inline(Answer),
-    /// As an object of this name.
+    /// In the object of this name.
     Object { name: String },
-    /// Not at all: it could not be stored in time.
+    /// Nowhere; it could not be stored in time.
     Lost,
 }
 
-/// An outcome, with its answer already stored.
+/// Outcome of a request; its answer is already stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It ran.
-    Ran(Kept),
-    /// It surely did not run and never will under this attempt.
+    /// The request ran.
+    Ran(StoredAnswer),
+    /// The request did not run and never will under this attempt.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// An operator's decision on one claim.
+/// An operator's decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Decision {
     pub key: Key,
@@ -96,57 +99,60 @@
     pub note: String,
 }
 
-/// The process that holds a claim, as far as this node knows.
+/// State of the process that holds a claim, as far as this node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Process {
-    /// It is a member.
-    Lives,
-    /// Another process runs in its place.
+pub(super) enum HolderState {
+    /// The process is a member.
+    Alive,
+    /// A newer process of the node is a member.
     Restarted,
-    /// Its node is no member: it is gone, or not known yet.
+    /// The node is not a member: it left or is not known yet.
     Absent,
 }
 
-/// What a settlement or decision did to the ledger.
+/// Effect of a claim, settlement or decision on the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Effect {
     /// The ledger changed and must be written.
     Changed,
-    /// It already stands so.
+    /// The ledger already reflects it.
     Same,
-    /// No claim fits.
+    /// No claim matches.
     Missing,
-    /// The claim does not allow it.
+    /// The state of the claim does not allow it.
     Refused(&'static str),
 }
 
 impl Ledger {
-    /// Reads a row's value.
+    /// Decodes the value of a row.
     pub fn decode(bytes: &[u8]) -> Result<Ledger, postcard::Error> {
         postcard::from_bytes(bytes)
     }
 
-    /// The row's value.
+    /// Encodes the value of the row.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("a ledger encodes")
     }
 
-    /// The claim of `key`, if the row itself holds one.
+    /// Returns the claim of `key`, if the row itself holds one.
     pub fn find(&self, key: &Key) -> Option<&Entry> {
         self.entries.iter().find(|it| it.key == *key)
     }
 
-    /// Adds an open claim unless the key has one; `process` tells how a claim's holder is.
+    /// Adds an open claim unless the key has one. `holder_state` returns the state of a claim's holder.
     pub(super) fn claim(
         &mut self,
         now: Ms,
         claim: &Claim,
-        process: impl Fn(&Entry) -> Process,
+        holder_state: impl Fn(&Entry) -> HolderState,
     ) -> (Verdict, Effect) {
         let entry = self.entries.iter().position(|it| it.key == claim.key);
         if let Some(idx) = entry {
             if !matches!(self.entries[idx].phase, Phase::Released { .. }) {
-                return (judge(now, &self.entries[idx], claim, process), Effect::Same);
+                return (
+                    existing_verdict(now, &self.entries[idx], claim, holder_state),
+                    Effect::Same,
+                );
             }
             self.entries.remove(idx);
         }
@@ -162,15 +168,16 @@
         (Verdict::Granted, Effect::Changed)
     }
 
-    /// Keeps an outcome. Only the attempt that holds the claim changes it, and only once.
+    /// Stores an outcome. Only the attempt that holds the claim changes it, and only once.
     pub(super) fn settle(&mut self, settlement: &Settlement) -> Effect {
-        let held = |it: &Entry| it.key == settlement.key && it.attempt == settlement.attempt;
-        let Some(idx) = self.entries.iter().position(held) else {
+        let matches_attempt =
+            |it: &Entry| it.key == settlement.key && it.attempt == settlement.attempt;
+        let Some(idx) = self.entries.iter().position(matches_attempt) else {
             return Effect::Missing;
         };
         let entry = &mut self.entries[idx];
         match (&entry.phase, &settlement.outcome) {
-            // Its holder knows better than an operator's guess.
+            // The holder's report takes precedence over an operator's decision.
             (
                 Phase::Open | Phase::Unknown | Phase::Resolved { .. } | Phase::Released { .. },
                 Outcome::Ran(kept),
@@ -186,12 +193,12 @@
         Effect::Changed
     }
 
-    /// Carries out an operator's decision on a claim of unknown outcome.
+    /// Applies an operator's decision on a claim with an unknown outcome.
     pub(super) fn resolve(
         &mut self,
         now: Ms,
         decision: &Decision,
-        process: impl Fn(&Entry) -> Process,
+        holder_state: impl Fn(&Entry) -> HolderState,
     ) -> Effect {
         let Some(entry) = self.entries.iter_mut().find(|it| it.key == decision.key) else {
             return Effect::Missing;
@@ -201,33 +208,33 @@
             Resolution::Ran => Phase::Resolved { author, note },
             Resolution::Rerun => Phase::Released { author, note },
         };
-        // The decision is asked for again, or its own write was read back.
+        // The decision was sent again, or its own write was read.
         if entry.phase == phase {
             return Effect::Same;
         }
-        if !entry.unknown(now, process) {
+        if !entry.is_unknown(now, holder_state) {
             return Effect::Refused(
-                "its outcome is not unknown; ask for the list of those that are",
+                "the outcome of this claim is not unknown; list the unknown claims",
             );
         }
         entry.phase = phase;
         Effect::Changed
     }
 
-    /// Drops what is older than the retention; returns the names of objects that are no longer needed.
+    /// Drops claims and segments older than the retention. Returns the objects that are no longer needed.
     pub(super) fn expire(&mut self, now: Ms, retention: u64) -> Vec<String> {
-        let old = |time: Ms| now.since(time) > retention;
+        let is_old = |time: Ms| now.since(time) > retention;
         let mut names = Vec::new();
         self.entries.retain(|it| {
-            let done = it.settled() || matches!(it.phase, Phase::Released { .. });
-            let keep = !done || !old(it.time);
-            if let (false, Phase::Ran(Kept::Object { name })) = (keep, &it.phase) {
+            let done = it.is_settled() || matches!(it.phase, Phase::Released { .. });
+            let keep = !done || !is_old(it.time);
+            if let (false, Phase::Ran(StoredAnswer::Object { name })) = (keep, &it.phase) {
                 names.push(name.clone());
             }
             keep
         });
         self.segments.retain(|it| {
-            let keep = !old(it.last);
+            let keep = !is_old(it.last);
             if !keep {
                 names.push(it.name.clone());
             }
@@ -238,21 +245,21 @@
 }
 
 impl Entry {
-    /// Whether the outcome is settled for good.
-    pub fn settled(&self) -> bool {
+    /// Returns whether the outcome is final.
+    pub fn is_settled(&self) -> bool {
         matches!(self.phase, Phase::Ran(_) | Phase::Resolved { .. })
     }
 
-    /// Whether nobody can tell any more what became of it.
-    pub(super) fn unknown(&self, now: Ms, process: impl Fn(&Entry) -> Process) -> bool {
+    /// Returns whether the outcome is unknown and needs an operator's decision.
+    pub(super) fn is_unknown(&self, now: Ms, holder_state: impl Fn(&Entry) -> HolderState) -> bool {
         match self.phase {
             Phase::Unknown => true,
             Phase::Open => {
                 let age = now.since(self.time);
-                match process(self) {
-                    Process::Lives => age > OPEN_MS,
-                    Process::Absent => age > ABSENT_MS,
-                    Process::Restarted => true,
+                match holder_state(self) {
+                    HolderState::Alive => age > OPEN_TIMEOUT_MS,
+                    HolderState::Absent => age > ABSENT_GRACE_MS,
+                    HolderState::Restarted => true,
                 }
             }
             _ => false,
@@ -260,14 +267,14 @@
     }
 }
 
-/// What to say of `claim` when `entry` already holds its key.
-pub(super) fn judge(
+/// Returns the verdict on `claim` if `entry` already holds its key.
+pub(super) fn existing_verdict(
     now: Ms,
     entry: &Entry,
     claim: &Claim,
-    process: impl Fn(&Entry) -> Process,
+    holder_state: impl Fn(&Entry) -> HolderState,
 ) -> Verdict {
-    // A claim that is sent again, or whose write was read back, meets its own entry.
+    // The claim was sent again, or its own write was read.
     if entry.attempt == claim.attempt && entry.phase == Phase::Open {
         return Verdict::Granted;
     }
@@ -279,10 +286,12 @@
     };
     match &entry.phase {
         Phase::Ran(kept) => Verdict::Ran(kept.clone()),
-        Phase::Resolved { .. } => unknown("an operator found that it ran; its answer is not kept"),
+        Phase::Resolved { .. } => {
+            unknown("an operator decided that the request ran; its answer is not stored")
+        }
         Phase::Unknown => unknown("an earlier attempt may have run; an operator has to resolve it"),
-        Phase::Open if entry.unknown(now, process) => {
-            unknown("the node that ran it is gone; an operator has to resolve it")
+        Phase::Open if entry.is_unknown(now, holder_state) => {
+            unknown("the node that ran the request is gone; an operator has to resolve it")
         }
         Phase::Open | Phase::Released { .. } => Verdict::Busy,
     }
--- a/crates/kernel/src/once/seal.rs
+++ b/crates/kernel/src/once/seal.rs
@@ -1,8 +1,8 @@
-//! Settled claims move out of a bucket's row into objects, so that the row stays small.
+//! Moves settled claims from a bucket's row into objects, so that the row stays small.
 //!
-//! A row of more than [`SEAL_BYTES`] gives up its older settled claims to a segment, an object that is written
-//! before the row names it. Every [`FAN_IN`] segments of one level become one of the next. The owner keeps
-//! 8 bytes of memory for each sealed claim, to know which segment to read for a repeated key.
+//! When a row exceeds [`SEAL_BYTES`], its older settled claims move to a segment, an object that is written
+//! before the row names it. [`FAN_IN`] segments of one level are merged into one of the next. The owner indexes
+//! sealed claims by key hash (8 bytes each) to find the segment of a repeated key.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,34 +13,34 @@
     kernel::Context,
     once::{
         Key,
-        ledger::{Entry, Kept, Ledger, Phase, Segment},
+        ledger::{Entry, Ledger, Phase, Segment, StoredAnswer},
     },
     platform::{ObjectAnswer, ObjectOp},
 };
 
-/// A row of more bytes is sealed.
+/// Row size from which settled claims are sealed, in bytes.
 const SEAL_BYTES: usize = 12 * 1024;
 
-/// Segments that are merged into one.
+/// Number of segments that are merged into one.
 const FAN_IN: usize = 16;
 
-/// Segments of this level are not merged any more.
+/// Level from which segments are no longer merged.
 const LEVEL_MAX: u8 = 2;
 
-/// Moves settled claims of one bucket into objects, one job at a time.
+/// Seals the settled claims of one bucket, one job at a time.
 #[derive(Debug, Default)]
 pub(super) struct Sealer {
     /// Sorted key hashes of each segment that the row names.
     index: BTreeMap<String, Vec<u64>>,
     job: Option<Job>,
-    /// Segments that the row no longer names, being read for the answers to remove.
-    purging: BTreeMap<CallId, String>,
+    /// Expired segments that are being read for the answers to delete.
+    purges: BTreeMap<CallId, String>,
 }
 
 #[derive(Debug)]
 struct Job {
     stage: Stage,
-    /// Segments to merge; none when claims of the row are sealed.
+    /// Segments to merge; empty if the job seals claims of the row.
     sources: Vec<String>,
     entries: Vec<Entry>,
     segment: Segment,
@@ -48,50 +48,50 @@
 
 #[derive(Debug)]
 enum Stage {
-    /// Reading sources; the rest is still to be read.
+    /// A source is being read; the queue holds those still to be read.
     Reading(CallId, VecDeque<String>),
     Storing(CallId),
-    /// The object is written; the row does not name it yet.
+    /// The object is written but the row does not name it yet.
     Stored,
     /// A write of the row that names it is in flight.
     Writing,
 }
 
 impl Sealer {
-    /// Number of sealed claims.
-    pub(super) fn keys(&self) -> usize {
+    /// Returns the number of sealed claims.
+    pub(super) fn key_count(&self) -> usize {
         self.index.values().map(Vec::len).sum()
     }
 
-    /// Bytes of memory, roughly.
+    /// Returns the approximate memory use, in bytes.
     pub(super) fn footprint(&self) -> usize {
-        self.keys() * size_of::<u64>()
+        self.key_count() * size_of::<u64>()
     }
 
-    /// Whether a stored segment waits for the row to name it.
-    pub(super) fn stored(&self) -> bool {
+    /// Returns whether a stored segment waits for the row to name it.
+    pub(super) fn has_stored_segment(&self) -> bool {
         matches!(&self.job, Some(job) if matches!(job.stage, Stage::Stored))
     }
 
-    /// A segment of the row whose keys are not known yet. Forgets those that the row no longer names.
-    pub(super) fn missing(&mut self, ledger: &Ledger) -> Option<String> {
-        let named = |name: &String| ledger.segments.iter().any(|it| it.name == *name);
-        self.index.retain(|name, _| named(name));
+    /// Returns a segment of the row that is not indexed yet. Drops the index of those no longer in the row.
+    pub(super) fn unindexed_segment(&mut self, ledger: &Ledger) -> Option<String> {
+        let is_named = |name: &String| ledger.segments.iter().any(|it| it.name == *name);
+        self.index.retain(|name, _| is_named(name));
         let mut names = ledger.segments.iter().map(|it| &it.name);
         names.find(|it| !self.index.contains_key(*it)).cloned()
     }
 
-    /// Takes in the keys of segment `name`; false if `answer` does not hold them.
-    pub(super) fn index(&mut self, name: String, answer: &ObjectAnswer) -> bool {
-        let Some(entries) = entries(answer) else {
+    /// Indexes the keys of segment `name`. Returns false if `answer` does not hold the segment.
+    pub(super) fn index_segment(&mut self, name: String, answer: &ObjectAnswer) -> bool {
+        let Some(entries) = decode_entries(answer) else {
             return false;
         };
-        self.index.insert(name, hashes(&entries));
+        self.index.insert(name, key_hashes(&entries));
         true
     }
 
-    /// The segment that holds `key`, if one does.
-    pub(super) fn find(&self, key: &Key) -> Option<String> {
+    /// Returns the segment that may hold `key`, if any.
+    pub(super) fn find_segment(&self, key: &Key) -> Option<String> {
         let hash = key.hash();
         let mut found = self.index.iter();
         found
@@ -99,8 +99,14 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// Starts a job if the row needs one.
-    pub(super) fn consider(&mut self, cx: &mut Context<'_>, id: u16, ledger: &Ledger, size: usize) {
+    /// Starts a job if segments need merging or the row needs sealing.
+    pub(super) fn start_job(
+        &mut self,
+        cx: &mut Context<'_>,
+        id: u16,
+        ledger: &Ledger,
+        size: usize,
+    ) {
         if self.job.is_some() {
             return;
         }
@@ -109,8 +115,8 @@
             cx.now.0,
             cx.rng.random::<u64>()
         );
-        let full = (0..LEVEL_MAX).find_map(|it| sources(ledger, it));
-        if let Some((level, sources)) = full {
+        let mergeable = (0..LEVEL_MAX).find_map(|it| merge_sources(ledger, it));
+        if let Some((level, sources)) = mergeable {
             let mut rest: VecDeque<String> = sources.iter().cloned().collect();
             let Some(first) = rest.pop_front() else {
                 return;
@@ -127,13 +133,13 @@
                 },
             });
         } else if size > SEAL_BYTES {
-            self.seal(cx, name, ledger);
+            self.start_sealing(cx, name, ledger);
         }
     }
 
-    fn seal(&mut self, cx: &mut Context<'_>, name: String, ledger: &Ledger) {
-        let settled: Vec<&Entry> = ledger.entries.iter().filter(|it| it.settled()).collect();
-        // The newer half stays, for repeats come soon; a row of open claims alone has nothing to seal.
+    fn start_sealing(&mut self, cx: &mut Context<'_>, name: String, ledger: &Ledger) {
+        let settled: Vec<&Entry> = ledger.entries.iter().filter(|it| it.is_settled()).collect();
+        // The newer half stays in the row, because most repeats come soon.
         let count = settled.len() / 2;
         if count == 0 {
             return;
@@ -151,15 +157,15 @@
         self.job = Some(job);
     }
 
-    /// An answer of the object store; whether it was for this bucket's sealing.
-    pub(super) fn object(
+    /// Handles an answer of the object store. Returns whether it was for this sealer.
+    pub(super) fn handle_object_answer(
         &mut self,
         cx: &mut Context<'_>,
         call: CallId,
         answer: &ObjectAnswer,
     ) -> bool {
-        if let Some(name) = self.purging.remove(&call) {
-            purge(cx, name, answer);
+        if let Some(name) = self.purges.remove(&call) {
+            delete_segment(cx, name, answer);
             return true;
         }
         let Some(mut job) = self.job.take() else {
@@ -167,7 +173,7 @@
         };
         match &mut job.stage {
             Stage::Reading(it, rest) if *it == call => {
-                let Some(found) = entries(answer) else {
+                let Some(found) = decode_entries(answer) else {
                     return true;
                 };
                 job.entries.extend(found);
@@ -191,8 +197,8 @@
         true
     }
 
-    /// Lets `ledger` name a stored segment in place of what it holds; returns objects no longer needed.
-    pub(super) fn apply(&mut self, ledger: &mut Ledger) -> Vec<String> {
+    /// Replaces what a stored segment holds by the segment's name. Returns the objects no longer needed.
+    pub(super) fn apply_job(&mut self, ledger: &mut Ledger) -> Vec<String> {
         let Some(job) = self
             .job
             .as_mut()
@@ -200,14 +206,14 @@
         else {
             return Vec::new();
         };
-        // A write whose answer was lost took effect: the row names the segment already.
+        // A write whose answer was lost took effect; the row already names the segment.
         if ledger.segments.iter().any(|it| it.name == job.segment.name) {
             self.job = None;
             return Vec::new();
         }
-        if !job.fits(ledger) {
-            // Another owner sealed or merged the same claims first. The object is removed only after this
-            // row's next write, when no write of ours that names it can take effect any more.
+        if !job.is_applicable(ledger) {
+            // Another owner sealed or merged the same claims first. The object is deleted after the next write
+            // of the row, when no earlier write that names it can still take effect.
             let name = job.segment.name.clone();
             self.job = None;
             return vec![name];
@@ -215,34 +221,35 @@
         job.stage = Stage::Writing;
         ledger.segments.retain(|it| !job.sources.contains(&it.name));
         if job.sources.is_empty() {
-            let sealed = |it: &Entry| job.entries.iter().any(|e| e.attempt == it.attempt);
-            ledger.entries.retain(|it| !sealed(it));
+            let is_sealed = |it: &Entry| job.entries.iter().any(|e| e.attempt == it.attempt);
+            ledger.entries.retain(|it| !is_sealed(it));
         }
         ledger.segments.push(job.segment.clone());
         job.sources.clone()
     }
 
-    /// A write of the row took effect, after which the objects in `dropped` are not needed.
-    pub(super) fn written(&mut self, cx: &mut Context<'_>, dropped: &[String]) {
+    /// Handles a successful write of the row, after which the objects in `dropped` are not needed.
+    pub(super) fn handle_written(&mut self, cx: &mut Context<'_>, dropped: &[String]) {
         let mut merged = Vec::new();
         if let Some(job) = self.job.take_if(|it| matches!(it.stage, Stage::Writing)) {
-            self.index.insert(job.segment.name, hashes(&job.entries));
+            self.index
+                .insert(job.segment.name, key_hashes(&job.entries));
             merged = job.sources;
         }
         for name in dropped {
             self.index.remove(name);
-            let expired = name.starts_with("claim/") && !merged.contains(name);
-            if expired {
+            let is_expired = name.starts_with("claim/") && !merged.contains(name);
+            if is_expired {
                 let call = cx.object(ObjectOp::Get { name: name.clone() });
-                self.purging.insert(call, name.clone());
+                self.purges.insert(call, name.clone());
             } else {
                 cx.object(ObjectOp::Delete { name: name.clone() });
             }
         }
     }
 
-    /// A write of the row may not have taken effect.
-    pub(super) fn unwritten(&mut self) {
+    /// Handles a write of the row that failed or whose outcome is unknown.
+    pub(super) fn handle_unwritten(&mut self) {
         if let Some(job) = &mut self.job
             && matches!(job.stage, Stage::Writing)
         {
@@ -265,17 +272,17 @@
         self.stage = Stage::Storing(cx.object(ObjectOp::Put { name, bytes }));
     }
 
-    fn fits(&self, ledger: &Ledger) -> bool {
+    fn is_applicable(&self, ledger: &Ledger) -> bool {
         if self.sources.is_empty() {
-            let held = |it: &Entry| ledger.entries.contains(it);
-            return self.entries.iter().all(held);
+            let is_held = |it: &Entry| ledger.entries.contains(it);
+            return self.entries.iter().all(is_held);
         }
-        let named = |name: &String| ledger.segments.iter().any(|it| it.name == *name);
-        self.sources.iter().all(named)
+        let is_named = |name: &String| ledger.segments.iter().any(|it| it.name == *name);
+        self.sources.iter().all(is_named)
     }
 }
 
-fn sources(ledger: &Ledger, level: u8) -> Option<(u8, Vec<String>)> {
+fn merge_sources(ledger: &Ledger, level: u8) -> Option<(u8, Vec<String>)> {
     let names: Vec<String> = ledger
         .segments
         .iter()
@@ -286,24 +293,24 @@
     (names.len() == FAN_IN).then_some((level + 1, names))
 }
 
-/// Removes an expired segment and the answers that only it names.
-fn purge(cx: &mut Context<'_>, name: String, answer: &ObjectAnswer) {
-    for entry in entries(answer).unwrap_or_default() {
-        if let Phase::Ran(Kept::Object { name }) = entry.phase {
+/// Deletes an expired segment and the answers that only it names.
+fn delete_segment(cx: &mut Context<'_>, name: String, answer: &ObjectAnswer) {
+    for entry in decode_entries(answer).unwrap_or_default() {
+        if let Phase::Ran(StoredAnswer::Object { name }) = entry.phase {
             cx.object(ObjectOp::Delete { name });
         }
     }
     cx.object(ObjectOp::Delete { name });
 }
 
-fn entries(answer: &ObjectAnswer) -> Option<Vec<Entry>> {
+fn decode_entries(answer: &ObjectAnswer) -> Option<Vec<Entry>> {
     match answer {
         ObjectAnswer::Bytes(bytes) => postcard::from_bytes(bytes).ok(),
         _ => None,
     }
 }
 
-fn hashes(entries: &[Entry]) -> Vec<u64> {
+fn key_hashes(entries: &[Entry]) -> Vec<u64> {
     let mut hashes: Vec<u64> = entries.iter().map(|it| it.key.hash()).collect();
     hashes.sort_unstable();
     hashes
--- a/crates/kernel/tests/common/claims.rs
+++ b/crates/kernel/tests/common/claims.rs
@@ -1,4 +1,4 @@
-//! A few kernels, the messages between them, and a table that fails by script.
+//! Simulates a few kernels, the messages between them, and a platform whose table fails by script.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -15,16 +15,16 @@
 /// Step of the fleet's clock, in ms.
 const STEP_MS: u64 = 10;
 
-/// What happens to one operation on the claim rows.
+/// Fault of one commit of claim rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// Nothing.
+pub enum TableFault {
+    /// The commit succeeds.
     None,
-    /// It fails without effect.
+    /// The commit fails without effect.
     Down,
-    /// It takes effect and its answer is lost.
+    /// The commit takes effect and its answer is lost.
     LostAfter,
-    /// It has no effect and its answer is lost.
+    /// The commit has no effect and its answer is lost.
     LostBefore,
 }
 
@@ -33,37 +33,37 @@
 pub struct Table {
     pub rows: BTreeMap<String, Row>,
     pub objects: BTreeMap<String, Vec<u8>>,
-    /// Troubles of the next commits to claim rows, in order.
-    pub script: VecDeque<Trouble>,
+    /// Faults of the next commits of claim rows, in order.
+    pub script: VecDeque<TableFault>,
     /// Whether every operation fails.
     pub down: bool,
-    /// Commits of claim rows that took effect.
+    /// Number of claim row writes that took effect.
     pub commits: u64,
 }
 
 impl Table {
     pub fn answer(&mut self, op: &TableOp) -> TableAnswer {
-        let claims = format!("{op:?}").contains("claim/");
+        let is_claim = format!("{op:?}").contains("claim/");
         if self.down {
             return TableAnswer::Failed(Fault::Unavailable);
         }
-        let commit = claims && matches!(op, TableOp::Commit { .. });
-        let trouble = match commit {
-            true => self.script.pop_front().unwrap_or(Trouble::None),
-            false => Trouble::None,
+        let is_commit = is_claim && matches!(op, TableOp::Commit { .. });
+        let fault = match is_commit {
+            true => self.script.pop_front().unwrap_or(TableFault::None),
+            false => TableFault::None,
         };
-        match trouble {
-            Trouble::None => self.carry_out(op),
-            Trouble::Down => TableAnswer::Failed(Fault::Unavailable),
-            Trouble::LostBefore => TableAnswer::Failed(Fault::Unknown),
-            Trouble::LostAfter => {
-                self.carry_out(op);
+        match fault {
+            TableFault::None => self.execute(op),
+            TableFault::Down => TableAnswer::Failed(Fault::Unavailable),
+            TableFault::LostBefore => TableAnswer::Failed(Fault::Unknown),
+            TableFault::LostAfter => {
+                self.execute(op);
                 TableAnswer::Failed(Fault::Unknown)
             }
         }
     }
 
-    pub fn carry_out(&mut self, op: &TableOp) -> TableAnswer {
+    pub fn execute(&mut self, op: &TableOp) -> TableAnswer {
         match op {
             TableOp::Get { keys } => {
                 let rows = keys.iter().filter_map(|it| self.rows.get(it).cloned());
@@ -82,7 +82,7 @@
         }
     }
 
-    pub fn object(&mut self, op: &ObjectOp) -> ObjectAnswer {
+    pub fn answer_object(&mut self, op: &ObjectOp) -> ObjectAnswer {
         if self.down {
             return ObjectAnswer::Failed(Fault::Unavailable);
         }
@@ -136,58 +136,58 @@
     rows.get(key).map_or(0, |it| it.version)
 }
 
-/// Something that is on its way.
+/// An item in flight.
 #[derive(Clone, Debug)]
 pub enum Item {
-    /// An event on its way to a node.
+    /// An event for a node.
     Event(usize, Event),
-    /// An operation on its way to the table.
+    /// An operation for the table.
     Table(usize, CallId, TableOp),
-    /// An operation on its way to the object store.
+    /// An operation for the object store.
     Object(usize, CallId, ObjectOp),
-    /// A write whose answer was given up, which may still take effect.
+    /// A write that was reported as lost and may still take effect.
     Late(TableOp),
 }
 
-/// Kernels that hear each other.
+/// Connected kernels with a simulated platform and clock.
 pub struct Fleet {
     pub now: Ms,
     pub table: Table,
     pub kernels: Vec<Kernel>,
-    /// What is on its way, oldest first.
+    /// Items in flight, oldest first.
     pub items: VecDeque<Item>,
     pub replies: BTreeMap<Token, Reply>,
-    /// Nodes that do nothing and whose events wait.
+    /// Nodes that process nothing; their events wait.
     pub paused: BTreeSet<usize>,
-    /// Nodes that are dead.
+    /// Nodes that were killed.
     pub dead: BTreeSet<usize>,
-    /// Nodes with an upstream.
+    /// Nodes whose upstream is announced.
     pub upstreams: BTreeSet<usize>,
-    /// Pairs of nodes between which claims and quarantines are lost.
+    /// Pairs of nodes between which messages about claims and quarantines are lost.
     pub cut: BTreeSet<(usize, usize)>,
-    /// What happened: claims, quarantines and log lines.
+    /// Recorded messages, replies, claim row accesses and log lines.
     pub trace: Vec<String>,
-    /// Of the messages about crashes and quarantines every so many is lost; none if zero.
+    /// Every n-th message about crashes and quarantines is lost; none if zero.
     pub loss: u64,
     sent: u64,
-    /// Messages and bytes about crashes and quarantines that each node sent.
+    /// Number and bytes of messages about crashes and quarantines that each node sent.
     pub spent: Vec<(u64, u64)>,
-    /// The tokens of all calls, in order.
-    pub asked: Vec<Token>,
+    /// Tokens of all calls, in order.
+    pub tokens: Vec<Token>,
 }
 
-/// The address of node `idx`.
+/// Returns the address of node `idx`.
 pub fn address(idx: usize) -> NodeId {
     let port = 7101 + idx as u16;
     NodeId(([127, 0, 0, 1], port).into())
 }
 
-/// A service's name.
+/// Returns the name of the simulated service.
 pub fn service() -> Name {
     "court-registry".parse().expect("a valid name")
 }
 
-/// A key of [`service`].
+/// Returns a key of [`service`].
 pub fn key(text: &str) -> Key {
     Key {
         service: service(),
@@ -195,7 +195,7 @@
     }
 }
 
-/// An answer with this body.
+/// Returns an answer with this body.
 pub fn answer(body: &str) -> Answer {
     Answer {
         status: 201,
@@ -205,13 +205,13 @@
 }
 
 impl Fleet {
-    /// `count` nodes of [`service`] that know each other.
+    /// Starts `count` nodes of [`service`] that know each other.
     pub fn new(count: usize) -> Fleet {
         Fleet::start((0..count).map(|it| kernel(it, count, 1)).collect())
     }
 
-    /// `count` nodes of which each takes itself for the only one.
-    pub fn strangers(count: usize) -> Fleet {
+    /// Starts `count` nodes that do not know each other.
+    pub fn unconnected(count: usize) -> Fleet {
         Fleet::start((0..count).map(|it| kernel(it, 0, 1)).collect())
     }
 
@@ -231,7 +231,7 @@
             loss: 0,
             sent: 0,
             spent: vec![(0, 0); count],
-            asked: Vec::new(),
+            tokens: Vec::new(),
         };
         for idx in 0..count {
             fleet.begin(idx);
@@ -241,7 +241,7 @@
         fleet
     }
 
-    /// Lets `millis` pass and everything arrive in order.
+    /// Advances the clock by `millis` and delivers all items in order.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
@@ -254,7 +254,7 @@
         self.drain();
     }
 
-    /// Lets everything that is on its way arrive in order.
+    /// Delivers all items in flight, in order.
     pub fn drain(&mut self) {
         let mut waiting = VecDeque::new();
         while let Some(item) = self.items.pop_front() {
@@ -266,7 +266,7 @@
         self.items = waiting;
     }
 
-    /// One tick at every node that runs; every second its upstream announces itself again.
+    /// Ticks every running node; once per second its upstream announces itself again.
     pub fn tick(&mut self) {
         for idx in 0..self.kernels.len() {
             if self.paused.contains(&idx) {
@@ -279,13 +279,13 @@
         }
     }
 
-    /// The upstream of node `idx` leaves.
+    /// Removes the upstream of node `idx`.
     pub fn upstream_gone(&mut self, idx: usize) {
         self.upstreams.remove(&idx);
         self.step(idx, Event::Upstream(UpstreamEvent::Gone));
     }
 
-    /// Lets one item arrive.
+    /// Delivers one item.
     pub fn deliver(&mut self, item: Item) {
         match item {
             Item::Event(to, event) => self.step(to, event),
@@ -295,20 +295,20 @@
                     .push_back(Item::Event(from, Event::Table { call, answer }));
             }
             Item::Late(op) => {
-                self.table.carry_out(&op);
+                self.table.execute(&op);
             }
             Item::Object(from, call, op) => {
-                let answer = self.table.object(&op);
+                let answer = self.table.answer_object(&op);
                 self.items
                     .push_back(Item::Event(from, Event::Object { call, answer }));
             }
         }
     }
 
-    /// Asks node `idx`.
+    /// Sends a call to node `idx`.
     pub fn call(&mut self, idx: usize, call: Call) -> Token {
-        let token = Token(1 + self.asked.len() as u64);
-        self.asked.push(token);
+        let token = Token(1 + self.tokens.len() as u64);
+        self.tokens.push(token);
         self.step(idx, Event::Call { token, call });
         token
     }
@@ -328,7 +328,7 @@
         self.call(idx, Call::Once(call))
     }
 
-    /// Tells node `idx` how an attempt ended.
+    /// Reports the end of an attempt to node `idx`.
     pub fn settle(&mut self, idx: usize, text: &str, attempt: u128, ended: Ended) -> Token {
         let call = once::Call::Settle {
             key: key(text),
@@ -338,8 +338,8 @@
         self.call(idx, Call::Once(call))
     }
 
-    /// What was said to `token`, in one word or two.
-    pub fn said(&self, token: Token) -> String {
+    /// Returns the reply to `token` in one or two words, or "nothing".
+    pub fn reply_text(&self, token: Token) -> String {
         match self.replies.get(&token) {
             None => "nothing".to_owned(),
             Some(Reply::Once(reply)) => match reply {
@@ -356,25 +356,25 @@
         }
     }
 
-    /// Takes the first item that `wanted` accepts off the way.
+    /// Removes the first item in flight that `wanted` accepts.
     pub fn take(&mut self, wanted: impl Fn(&Item) -> bool) -> Option<Item> {
         let idx = self.items.iter().position(wanted)?;
         self.items.remove(idx)
     }
 
-    /// Ends node `idx` at once, with all that it held.
+    /// Kills node `idx` with all its state.
     pub fn kill(&mut self, idx: usize) {
         self.dead.insert(idx);
     }
 
-    /// Starts node `idx` again as a new process.
+    /// Restarts node `idx` as a new process.
     pub fn restart(&mut self, idx: usize) {
         self.dead.remove(&idx);
         self.kernels[idx] = kernel(idx, self.kernels.len(), 1 + self.now.0);
         self.begin(idx);
     }
 
-    /// Feeds one event to a node and puts what it does on its way.
+    /// Passes one event to a node and carries out its actions.
     pub fn step(&mut self, idx: usize, event: Event) {
         if self.dead.contains(&idx) {
             return;
@@ -414,22 +414,22 @@
             }
             Action::Object { call, op } => self.items.push_back(Item::Object(idx, call, op)),
             Action::Reply { token, reply } => {
-                let text = short(&format!("{reply:?}"));
-                self.tell(&format!("node {idx} answers call {}: {text}", token.0));
+                let text = shorten(&format!("{reply:?}"));
+                self.record(&format!("node {idx} answers call {}: {text}", token.0));
                 let earlier = self.replies.insert(token, reply);
                 assert_eq!(earlier, None, "a call is answered once");
             }
-            Action::Log { event, pairs } if ours(event) => {
+            Action::Log { event, pairs } if is_relevant(event) => {
                 let pairs: Vec<String> = pairs.iter().map(|(k, v)| format!("{k}={v}")).collect();
                 let line = format!("node {idx} logs {event} {}", pairs.join(" "));
-                self.tell(&line);
+                self.record(&line);
             }
             _ => {}
         }
     }
 
     fn send(&mut self, idx: usize, to: NodeId, message: Message) {
-        let ours = matches!(message, Message::Once(_) | Message::Guard(_));
+        let is_traced = matches!(message, Message::Once(_) | Message::Guard(_));
         let target = index(to);
         let pair = (idx.min(target), idx.max(target));
         self.trace_send(idx, target, &message);
@@ -442,7 +442,7 @@
                 return;
             }
         }
-        if ours && self.cut.contains(&pair) {
+        if is_traced && self.cut.contains(&pair) {
             return;
         }
         let from = address(idx);
@@ -451,16 +451,16 @@
 
     fn trace_send(&mut self, idx: usize, target: usize, message: &Message) {
         let text = match message {
-            Message::Once(it) => short(&format!("{it:?}")),
+            Message::Once(it) => shorten(&format!("{it:?}")),
             Message::Guard(guard::Message::Digest { .. }) => return,
-            Message::Guard(it) => short(&format!("{it:?}")),
+            Message::Guard(it) => shorten(&format!("{it:?}")),
             _ => return,
         };
-        self.tell(&format!("node {idx} -> node {target}: {text}"));
+        self.record(&format!("node {idx} -> node {target}: {text}"));
     }
 
-    /// Adds a line to the session: ms since the fleet began, and what happened.
-    fn tell(&mut self, text: &str) {
+    /// Records a line with the time since the start, in ms.
+    fn record(&mut self, text: &str) {
         let millis = self.now.0 - 1_000_000;
         self.trace.push(format!("{millis:>6} ms  {text}"));
     }
@@ -468,14 +468,14 @@
     fn trace_table(&mut self, idx: usize, op: &TableOp) {
         match op {
             TableOp::Get { keys } if keys.len() == 1 && keys[0].starts_with("claim/") => {
-                self.tell(&format!("node {idx} reads {}", keys[0]));
+                self.record(&format!("node {idx} reads {}", keys[0]));
             }
             TableOp::Commit { checks, .. }
                 if checks.iter().any(|it| it.key.starts_with("claim/")) =>
             {
                 for it in checks {
                     let line = format!("node {idx} writes {} if at version {}", it.key, it.version);
-                    self.tell(&line);
+                    self.record(&line);
                 }
             }
             _ => {}
@@ -490,13 +490,13 @@
     }
 }
 
-/// A message without what every line would repeat.
-fn short(text: &str) -> String {
+/// Removes the parts of a message that every line would repeat.
+fn shorten(text: &str) -> String {
     let text = text.replace("service: Name(\"court-registry\"), ", "");
     text.replace("holder: NodeId(127.0.0.1:", "holder: (")
 }
 
-fn ours(event: &str) -> bool {
+fn is_relevant(event: &str) -> bool {
     event.contains("claim") || event.contains("crash") || event.contains("quarantine")
 }
 
--- a/crates/kernel/tests/once_order.rs
+++ b/crates/kernel/tests/once_order.rs
@@ -1,4 +1,4 @@
-//! At most once holds for any order, loss and doubling of messages and table answers.
+//! At-most-once execution under any order, loss and duplication of messages and table answers.
 
 #[path = "common/claims.rs"]
 mod claims;
@@ -16,7 +16,7 @@
 const NODES: usize = 3;
 const KEYS: [&str; 2] = ["schedule-7", "filing-3"];
 
-/// One thing that happens; `pick` chooses among what is on its way.
+/// One step of a schedule; `pick` chooses among the items in flight or the running attempts.
 #[derive(Clone, Debug)]
 enum Step {
     Claim { node: usize, key: usize },
@@ -56,12 +56,12 @@
     ]
 }
 
-/// What callers and upstreams see.
+/// A fleet and what its callers and upstreams observe.
 struct World {
     fleet: Fleet,
-    asked: BTreeMap<Token, Attempt>,
+    pending: BTreeMap<Token, Attempt>,
     running: Vec<Attempt>,
-    /// Attempts that reached an upstream and were not refused by it, by key.
+    /// Attempts that an upstream may have run, by key.
     ran: BTreeMap<usize, Vec<Attempt>>,
     attempts: u128,
     granted: usize,
@@ -78,7 +78,7 @@
     fn new() -> World {
         World {
             fleet: Fleet::new(NODES),
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             running: Vec::new(),
             ran: BTreeMap::new(),
             attempts: 0,
@@ -92,22 +92,22 @@
                 self.attempts += 1;
                 let id = self.attempts;
                 let token = self.fleet.claim(node, KEYS[key], id);
-                self.asked.insert(token, Attempt { id, node, key });
+                self.pending.insert(token, Attempt { id, node, key });
             }
             Step::Finish { pick, ended } => self.finish(pick, ended),
             Step::Deliver { pick } => {
-                if let Some(item) = self.take(pick, |_| true) {
+                if let Some(item) = self.take_item(pick, |_| true) {
                     self.fleet.deliver(item);
                 }
             }
             Step::Duplicate { pick } => {
-                if let Some(item) = self.take(pick, is_message) {
+                if let Some(item) = self.take_item(pick, is_message) {
                     self.fleet.items.push_back(item.clone());
                     self.fleet.items.push_back(item);
                 }
             }
             Step::Lose { pick } => {
-                self.take(pick, is_message);
+                self.take_item(pick, is_message);
             }
             Step::LoseAnswer { pick, effect } => self.lose_answer(pick, effect),
             Step::Pass { millis } => {
@@ -116,17 +116,17 @@
             }
             Step::Restart { node } => {
                 self.running.retain(|it| it.node != node);
-                self.asked.retain(|_, it| it.node != node);
+                self.pending.retain(|_, it| it.node != node);
                 self.fleet.items.retain(|it| !is_answer(it, node));
                 self.fleet.restart(node);
             }
         }
-        self.pass_others();
+        self.deliver_unrelated();
         self.check();
     }
 
-    /// Takes one claim message or table operation off the way.
-    fn take(&mut self, pick: usize, wanted: impl Fn(&Item) -> bool) -> Option<Item> {
+    /// Removes one of the items in flight that `wanted` accepts.
+    fn take_item(&mut self, pick: usize, wanted: impl Fn(&Item) -> bool) -> Option<Item> {
         let found = self.fleet.items.iter().enumerate();
         let found: Vec<usize> = found
             .filter(|(_, it)| wanted(it))
@@ -137,13 +137,14 @@
     }
 
     fn lose_answer(&mut self, pick: usize, effect: Effect) {
-        let Some(Item::Table(from, call, op)) = self.take(pick, |it| matches!(it, Item::Table(..)))
+        let Some(Item::Table(from, call, op)) =
+            self.take_item(pick, |it| matches!(it, Item::Table(..)))
         else {
             return;
         };
         match effect {
             Effect::Before => {
-                self.fleet.table.carry_out(&op);
+                self.fleet.table.execute(&op);
             }
             Effect::Never => {}
             Effect::Late => self.fleet.items.push_back(Item::Late(op)),
@@ -170,16 +171,16 @@
         self.fleet.settle(it.node, KEYS[it.key], it.id, ended);
     }
 
-    /// Lets everything arrive that has to do with neither claims nor the table.
-    fn pass_others(&mut self) {
-        while let Some(item) = self.take(0, |it| !is_ours(it)) {
+    /// Delivers all items that concern neither claims nor the platform.
+    fn deliver_unrelated(&mut self) {
+        while let Some(item) = self.take_item(0, |it| !is_related(it)) {
             self.fleet.deliver(item);
         }
     }
 
     fn check(&mut self) {
         for (token, reply) in std::mem::take(&mut self.fleet.replies) {
-            let Some(it) = self.asked.remove(&token) else {
+            let Some(it) = self.pending.remove(&token) else {
                 continue;
             };
             let earlier = self.ran.entry(it.key).or_default();
@@ -199,8 +200,8 @@
         }
     }
 
-    /// Ends every trouble; then each key is granted if nothing ran, and otherwise never again.
-    fn heal(&mut self) {
+    /// Ends all faults and attempts, and claims each key once more.
+    fn end_faults(&mut self) {
         while !self.running.is_empty() {
             self.finish(0, 0);
         }
@@ -224,7 +225,7 @@
     matches!(message, Message::Once(_))
 }
 
-fn is_ours(item: &Item) -> bool {
+fn is_related(item: &Item) -> bool {
     let answer = matches!(
         item,
         Item::Event(_, Event::Table { .. } | Event::Object { .. })
@@ -232,7 +233,7 @@
     answer || is_message(item) || !matches!(item, Item::Event(..))
 }
 
-/// An answer for a process that is no more.
+/// Returns whether `item` belongs to an operation of a process of `node` that no longer exists.
 fn is_answer(item: &Item, node: usize) -> bool {
     let Item::Event(to, event) = item else {
         return matches!(item, Item::Table(from, ..) | Item::Object(from, ..) if *from == node);
@@ -248,21 +249,21 @@
         ..ProptestConfig::default()
     })]
 
-    // Callers sign the same schedules again and again through three nodes, while messages and answers are
-    // lost, doubled, late and crossed, nodes restart and time jumps. No two attempts for one key ever run.
+    // Guards against two runs for one key while messages and answers are lost, duplicated, delayed or reordered,
+    // nodes restart and time jumps.
     #[test]
-    fn never_twice(steps in prop::collection::vec(step(), 1..160)) {
+    fn no_key_runs_twice(steps in prop::collection::vec(step(), 1..160)) {
         let mut world = World::new();
         for it in &steps {
             world.step(it);
         }
-        world.heal();
+        world.end_faults();
     }
 }
 
-// The property would hold of a kernel that grants nothing: this schedule with no trouble grants each key.
+// Guards against a kernel that passes the property above by granting nothing.
 #[test]
-fn grants_without_trouble() {
+fn grants_without_faults() {
     let mut world = World::new();
     for key in 0..KEYS.len() {
         world.step(&Step::Claim { node: key, key });
--- a/crates/kernel/tests/once_session.rs
+++ b/crates/kernel/tests/once_session.rs
@@ -1,4 +1,4 @@
-//! Whole sessions as golden files: what nodes say to each other, to the table and to callers.
+//! Sessions as snapshots: the messages between nodes, the writes to the table and the replies to callers.
 
 #[path = "common/claims.rs"]
 mod claims;
@@ -14,8 +14,8 @@
     fleet.trace.push(format!("-- {text}"));
 }
 
-// Both parents sign a visitation schedule; the browser sends the signature twice, through two nodes. One
-// is run; the other is told to wait, and the same request later gets the answer of the first.
+// Guards against a change of the messages and replies if one request is sent twice through two nodes and again
+// after it ran.
 #[test]
 fn schedule_signed_twice() {
     let mut fleet = Fleet::new(3);
@@ -35,8 +35,8 @@
     insta::assert_snapshot!(fleet.trace.join("\n"));
 }
 
-// A filing crashes the upstream of node 0 while a read is in flight there. Its caller sends it again with a
-// new key, which crashes node 1. The third time it is refused everywhere; the read never is.
+// Guards against a change of the messages and replies if a request crashes two upstreams: it must be quarantined
+// on all nodes, and a read that was in flight with it must not.
 #[test]
 fn crashing_filing_sent_again() {
     let mut fleet = Fleet::new(3);
