--- a/crates/kernel/src/accept.rs
+++ b/crates/kernel/src/accept.rs
@@ -1,10 +1,9 @@
-//! Acceptance: submissions become batches of the log in the platform's table.
+//! Acceptance: commits submissions as batches of the log in the platform's table.
 //!
-//! Rows: `head` holds the last [`Seq`]; `log/<seq>` holds an [`Entry`]; `service/<name>` holds the newest
-//! document; `snapshot` names the newest snapshot. One transaction writes a whole batch, on the condition
-//! that `log/<seq>` is absent and the entry before it is there. Every writer of these rows fulfils the same
-//! condition, so it stands for the versions of them all, and whoever commits at a position has read, and
-//! decided on, everything before it.
+//! Rows: `head` holds the last [`Seq`], `log/<seq>` an [`Entry`], `service/<name>` the newest document and
+//! `snapshot` the name of the newest snapshot. One transaction writes a whole batch, on the condition that
+//! `log/<seq>` is absent and the entry before it exists. All writers of these rows check this condition, so a
+//! committer has read and decided on everything before its position.
 
 mod audit;
 mod commit;
@@ -29,7 +28,7 @@
 
 inventory::submit! { Plugin { name: "accept", order: 20, scope: Scope::Submitted, handle } }
 
-/// A change that somebody wants made.
+/// A change submitted by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
     /// Chosen by the submitter; the same id is never applied twice.
@@ -42,43 +41,43 @@
     pub edit: Edit,
     /// Who submits it.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub reason: String,
 }
 
-/// What became of a submission.
+/// Outcome of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// It is part of the log and never reverts.
+    /// The submission is part of the log for good.
     Accepted { seq: Seq, revision: Revision },
-    /// Another submission came first; nothing was changed.
+    /// Another submission changed the service first; nothing was changed.
     Conflict {
         revision: Revision,
         author: String,
         diff: String,
     },
-    /// The submission is wrong in itself; nothing was changed.
+    /// The submission is not valid; nothing was changed.
     Refused { why: String },
-    /// The platform gave no answer and nothing was changed.
+    /// The submission could not be committed; nothing was changed.
     Unavailable { why: String },
-    /// It may or may not be accepted: ask again by its id.
+    /// The submission may or may not be accepted; query its outcome by id.
     Unknown { id: SubmitId },
-    /// Asked by its id: none of the last [`crate::log::IDS_MAX`] accepted submissions has it so far.
-    /// Submitting it again under the same id is safe.
+    /// Answers [`Call::Outcome`]: none of the last [`crate::log::IDS_MAX`] accepted submissions has this id.
+    /// Submitting again under the same id is safe.
     Absent { id: SubmitId },
 }
 
-/// What operators ask.
+/// A call from an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Make a change.
+    /// Submits a change.
     Submit(Submission),
-    /// What became of the submission `id`?
+    /// Queries the outcome of submission `id`.
     Outcome { id: SubmitId },
-    /// The log after `after`, oldest first, at most `limit` entries.
+    /// Reads at most `limit` entries of the log after `after`, oldest first.
     Audit {
-        /// Only entries that changed this service.
+        /// Restricts the result to changes of this service.
         service: Option<Name>,
         after: Seq,
         limit: u32,
@@ -88,98 +87,98 @@
 /// The answer to a [`Call`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// To [`Call::Submit`] and [`Call::Outcome`].
+    /// Answers [`Call::Submit`] and [`Call::Outcome`].
     Verdict(Verdict),
-    /// To [`Call::Audit`].
+    /// Answers [`Call::Audit`].
     Audit(Page),
-    /// The table gave no answer to a [`Call::Audit`].
+    /// Answers [`Call::Audit`]: the log could not be read.
     Unavailable { why: String },
 }
 
-/// One entry of the log as the table keeps it: who changed what, when, why, and how.
+/// One entry of the log as stored in the table: who changed what, when, why and how.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The changes.
+    /// The changes of one transaction.
     pub batch: Batch,
-    /// For each change, in order, the unified diff from the document it replaced.
+    /// Unified diff of each change against the document it replaced, in order.
     pub diffs: Vec<String>,
 }
 
-/// Part of the log.
+/// One page of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// Oldest first.
+    /// Entries, oldest first.
     pub entries: Vec<Entry>,
-    /// Ask again after this one; nothing when the end of the log was reached.
+    /// Position to continue after; `None` at the end of the log.
     pub next: Option<Seq>,
 }
 
-/// Between a node that took a submission and a committer.
+/// Messages between a node that received a submission and the committer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Please commit this.
+    /// Requests that the committer commits this submission.
     Forward {
         submission: Submission,
-        /// Stands for this message: a copy of it has the same one, a submission sent again has not.
+        /// Identifies this message: the same in a duplicate, different if the submission is sent again.
         attempt: u64,
     },
-    /// What became of it.
+    /// Reports the outcome of a forwarded submission.
     Verdict { id: SubmitId, verdict: Verdict },
 }
 
-/// Most changes in one transaction: each writes one row, beside two checks, `head` and the entry.
+/// Maximum number of changes in one transaction. Each writes one row, next to two checks, `head` and the entry.
 pub const CHANGES_MAX: usize = COMMIT_MAX - 4;
 
-/// Most bytes of a batch, which so fits one frame of the link; its diffs are only in the table.
+/// Maximum size of a batch in bytes; it must fit into one link frame. Diffs are stored only in the table.
 pub const BATCH_MAX: usize = 56 * 1024;
 
-/// Most bytes of a diff in the log; a longer one is left out, and both texts are in the log anyway.
+/// Maximum size of a diff in the log, in bytes. A longer one is omitted; the log holds both texts.
 pub const DIFF_MAX: usize = 64 * 1024;
 
-/// Most bytes of a diff in a verdict, which so fits one frame of the link.
+/// Maximum size of a diff in a verdict, in bytes; the verdict must fit into one link frame.
 pub const VERDICT_DIFF_MAX: usize = 32 * 1024;
 
-/// Most bytes of an author's name.
+/// Maximum length of an author's name, in bytes.
 pub const AUTHOR_MAX: usize = 128;
 
-/// Most bytes of a reason.
+/// Maximum length of a reason, in bytes.
 pub const REASON_MAX: usize = 2048;
 
-/// Most submissions that wait on one node.
+/// Maximum number of submissions that wait on one node.
 pub const QUEUE_MAX: usize = 4096;
 
-/// Most bytes of submissions that wait on one node.
+/// Maximum size of all submissions that wait on one node, in bytes.
 pub const QUEUE_BYTES: usize = 8 << 20;
 
-/// Longest time that a committer gathers submissions, in ms; a longer window counts as this one, so that a
-/// node that forwarded one does not take the committer for silent.
+/// Maximum time for which a committer gathers submissions, in ms. Longer windows in the settings are cut to it,
+/// so that forwarded submissions do not time out.
 pub const WINDOW_MAX: u64 = 500;
 
-/// Longest time until a submission has a verdict, in ms.
+/// Timeout of a submission, in ms.
 pub const VERDICT_TIMEOUT: u64 = 6_000;
 
-/// Longest time that a committer in another node has for a verdict, in ms.
+/// Timeout of a submission that was forwarded to another node, in ms.
 pub const FORWARD_TIMEOUT: u64 = 2_000;
 
-/// Submissions on their way into the table.
+/// State of the plug-in: submissions that are not committed yet, audits and snapshots.
 #[derive(Debug, Default)]
 pub struct Accept {
     queue: Queue,
     forwards: Forwards,
     reader: Recovery,
-    asks: Vec<(SubmitId, Origin)>,
+    outcome_queries: Vec<(SubmitId, Origin)>,
     audits: Audits,
     snapshots: Snapshots,
 }
 
 impl Accept {
-    /// Submissions that wait here to be committed.
+    /// Returns the number of submissions that wait to be committed by this node.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 }
 
-/// Who waits for a verdict.
+/// Receiver of a verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Origin {
     Call(Token),
@@ -204,59 +203,59 @@
         Event::Call {
             token,
             call: event::Call::Accept(call),
-        } => called(cx, state, *token, call),
+        } => handle_call(cx, state, *token, call),
         Event::Message {
             from,
             message: event::Message::Accept(message),
-        } => forward::received(cx, state, *from, message),
+        } => forward::handle_message(cx, state, *from, message),
         Event::Tick => {
             forward::expire(cx, state);
             commit::expire(cx, state);
-            snapshots::begin(cx, state);
+            snapshots::start_if_due(cx, state);
         }
         Event::Table { call, answer } => {
-            commit::answered(cx, state, *call, answer);
-            audit::answered(cx, state, *call, answer);
-            snapshots::table(cx, state, *call, answer);
+            commit::handle_table_answer(cx, state, *call, answer);
+            audit::handle_table_answer(cx, state, *call, answer);
+            snapshots::handle_table_answer(cx, state, *call, answer);
         }
-        Event::Object { call, answer } => snapshots::object(cx, state, *call, answer),
+        Event::Object { call, answer } => snapshots::handle_object_answer(cx, state, *call, answer),
         _ => return,
     }
     match state.accept.reader.answer(cx, &mut state.log, event) {
-        Progress::Done => read(cx, state),
-        Progress::Failed => unread(cx, state),
+        Progress::Done => handle_log_read(cx, state),
+        Progress::Failed => handle_read_failure(cx, state),
         Progress::Same | Progress::Busy => {}
     }
-    commit::advance(cx, state);
+    commit::start_due(cx, state);
 }
 
-fn called(cx: &mut Context<'_>, state: &mut State, token: Token, call: &Call) {
+fn handle_call(cx: &mut Context<'_>, state: &mut State, token: Token, call: &Call) {
     let origin = Origin::Call(token);
     match call {
         Call::Submit(submission) => forward::submit(cx, state, origin, submission),
-        Call::Outcome { id } => ask(cx, state, origin, *id),
+        Call::Outcome { id } => query_outcome(cx, state, origin, *id),
         Call::Audit {
             service,
             after,
             limit,
-        } => audit::begin(cx, state, token, service.clone(), *after, *limit),
+        } => audit::start(cx, state, token, service.clone(), *after, *limit),
     }
 }
 
-/// Answers from what is known here, or else from the table.
-fn ask(cx: &mut Context<'_>, state: &mut State, origin: Origin, id: SubmitId) {
+/// Answers [`Call::Outcome`] from this node's state or, if that is not enough, from the table's log.
+fn query_outcome(cx: &mut Context<'_>, state: &mut State, origin: Origin, id: SubmitId) {
     if let Some(seq) = state.log.accepted(id) {
         return origin.answer(cx, id, accepted(seq));
     }
-    if state.accept.queue.join(id, origin) || state.accept.forwards.join(id, origin) {
+    if state.accept.queue.add_origin(id, origin) || state.accept.forwards.add_origin(id, origin) {
         return;
     }
-    state.accept.asks.push((id, origin));
-    follow(cx, state);
+    state.accept.outcome_queries.push((id, origin));
+    read_log(cx, state);
 }
 
-/// Reads what the table's log has more than this node's.
-fn follow(cx: &mut Context<'_>, state: &mut State) {
+/// Reads the entries of the table's log that this node lacks.
+fn read_log(cx: &mut Context<'_>, state: &mut State) {
     let State { accept, log, .. } = state;
     match log.seq() {
         Seq(0) => accept.reader.start(cx),
@@ -264,22 +263,22 @@
     }
 }
 
-fn read(cx: &mut Context<'_>, state: &mut State) {
-    for (id, origin) in std::mem::take(&mut state.accept.asks) {
+fn handle_log_read(cx: &mut Context<'_>, state: &mut State) {
+    for (id, origin) in std::mem::take(&mut state.accept.outcome_queries) {
         let verdict = state
             .log
             .accepted(id)
             .map_or(Verdict::Absent { id }, accepted);
         origin.answer(cx, id, verdict);
     }
-    commit::read(cx, state);
+    commit::handle_log_read(cx, state);
 }
 
-fn unread(cx: &mut Context<'_>, state: &mut State) {
-    for (id, origin) in std::mem::take(&mut state.accept.asks) {
+fn handle_read_failure(cx: &mut Context<'_>, state: &mut State) {
+    for (id, origin) in std::mem::take(&mut state.accept.outcome_queries) {
         origin.answer(cx, id, Verdict::Unknown { id });
     }
-    commit::unread(cx, state);
+    commit::handle_read_failure(cx, state);
 }
 
 fn accepted(seq: Seq) -> Verdict {
@@ -287,7 +286,7 @@
     Verdict::Accepted { seq, revision }
 }
 
-/// The node that commits for a region at present, if any member is ready.
+/// Returns the node that currently commits for a region, if any member is ready.
 pub fn committer(state: &State, region: &Name) -> Option<NodeId> {
     let ready = state.members.ready().filter(|it| it.region == *region);
     crate::utils::rendezvous("committer", ready.map(|it| it.id))
--- a/crates/kernel/src/accept/audit.rs
+++ b/crates/kernel/src/accept/audit.rs
@@ -1,4 +1,4 @@
-//! Reading the log back: who changed what, when, why, and how.
+//! Audits: reads pages of the log for operators.
 
 use std::collections::BTreeMap;
 
@@ -15,32 +15,32 @@
 };
 
 /// Audits in progress.
-pub(super) type Audits = BTreeMap<CallId, Reading>;
+pub(super) type Audits = BTreeMap<CallId, AuditRead>;
 
 /// One audit in progress.
 #[derive(Debug)]
-pub(super) struct Reading {
+pub(super) struct AuditRead {
     token: Token,
     service: Option<Name>,
     limit: usize,
     entries: Vec<Entry>,
-    /// Rows of the log read so far.
+    /// Number of rows read so far.
     rows: usize,
 }
 
-/// Most entries of one page.
+/// Maximum number of entries in one page.
 pub const PAGE_MAX: u32 = 256;
 
-/// Rows read at once; 4 MiB at most.
-const SCAN: u32 = 16;
+/// Number of rows read at once; at most 4 MiB.
+const SCAN_ROWS: u32 = 16;
 
-/// Rows read for one page; an audit of one service goes on from there when asked again.
+/// Maximum number of rows read for one page; an audit of one service may end early and continue with the next.
 const ROWS_MAX: usize = 512;
 
-/// Audits that one node reads at a time, so that they leave reads to the others.
+/// Maximum number of concurrent audits on one node, so that they do not use up the table's read rate.
 const AUDITS_MAX: usize = 4;
 
-pub(super) fn begin(
+pub(super) fn start(
     cx: &mut Context<'_>,
     state: &mut State,
     token: Token,
@@ -49,47 +49,47 @@
     limit: u32,
 ) {
     if state.accept.audits.len() >= AUDITS_MAX {
-        return refuse(
+        return reply_unavailable(
             cx,
             token,
-            format!("{AUDITS_MAX} audits are being read; ask again soon"),
+            format!("{AUDITS_MAX} audits are in progress on this node; retry later"),
         );
     }
-    let reading = Reading {
+    let audit = AuditRead {
         token,
         service,
         limit: limit.clamp(1, PAGE_MAX) as usize,
         entries: Vec::new(),
         rows: 0,
     };
-    scan(cx, state, reading, after);
+    start_scan(cx, state, audit, after);
 }
 
-pub(super) fn answered(
+pub(super) fn handle_table_answer(
     cx: &mut Context<'_>,
     state: &mut State,
     call: CallId,
     answer: &TableAnswer,
 ) {
-    let Some(mut reading) = state.accept.audits.remove(&call) else {
+    let Some(mut audit) = state.accept.audits.remove(&call) else {
         return;
     };
     let found = match answer {
         TableAnswer::Rows(found) => found,
-        TableAnswer::Failed(fault) => return refuse(cx, reading.token, fault.to_string()),
+        TableAnswer::Failed(fault) => return reply_unavailable(cx, audit.token, fault.to_string()),
         TableAnswer::Committed | TableAnswer::Conflict(_) => {
-            let why = "the table gave no rows; ask again".to_owned();
-            return refuse(cx, reading.token, why);
+            let why = "the table gave an answer of the wrong type; retry later".to_owned();
+            return reply_unavailable(cx, audit.token, why);
         }
     };
-    match reading.take(found) {
-        Ok(Next::Scan(after)) => scan(cx, state, reading, after),
+    match audit.add_rows(found) {
+        Ok(Next::Scan(after)) => start_scan(cx, state, audit, after),
         Ok(Next::Reply(next)) => {
-            let entries = reading.entries;
+            let entries = audit.entries;
             let page = Page { entries, next };
-            cx.reply(reading.token, event::Reply::Accept(Reply::Audit(page)));
+            cx.reply(audit.token, event::Reply::Accept(Reply::Audit(page)));
         }
-        Err(error) => refuse(cx, reading.token, error.to_string()),
+        Err(error) => reply_unavailable(cx, audit.token, error.to_string()),
     }
 }
 
@@ -98,26 +98,26 @@
     Reply(Option<Seq>),
 }
 
-impl Reading {
-    fn take(&mut self, found: &[Row]) -> Result<Next, rows::BadRow> {
+impl AuditRead {
+    fn add_rows(&mut self, found: &[Row]) -> Result<Next, rows::BadRow> {
         let mut last = Seq(0);
         for row in found {
             let entry = rows::read_entry(row)?;
             last = entry.batch.seq;
             self.rows += 1;
-            self.entries.extend(self.keep(entry));
+            self.entries.extend(self.filter_entry(entry));
             if self.entries.len() >= self.limit || self.rows >= ROWS_MAX {
                 return Ok(Next::Reply(Some(last)));
             }
         }
-        match found.len() < SCAN as usize {
+        match found.len() < SCAN_ROWS as usize {
             true => Ok(Next::Reply(None)),
             false => Ok(Next::Scan(last)),
         }
     }
 
-    /// The part of `entry` that is asked for.
-    fn keep(&self, entry: Entry) -> Option<Entry> {
+    /// Returns the changes of `entry` that the audit asks for, if any.
+    fn filter_entry(&self, entry: Entry) -> Option<Entry> {
         let Some(service) = &self.service else {
             return Some(entry);
         };
@@ -131,15 +131,15 @@
     }
 }
 
-fn scan(cx: &mut Context<'_>, state: &mut State, reading: Reading, after: Seq) {
+fn start_scan(cx: &mut Context<'_>, state: &mut State, audit: AuditRead, after: Seq) {
     let call = cx.table(TableOp::Scan {
         prefix: LOG_PREFIX.to_owned(),
         after: log_key(after),
-        limit: SCAN,
+        limit: SCAN_ROWS,
     });
-    state.accept.audits.insert(call, reading);
+    state.accept.audits.insert(call, audit);
 }
 
-fn refuse(cx: &mut Context<'_>, token: Token, why: String) {
+fn reply_unavailable(cx: &mut Context<'_>, token: Token, why: String) {
     cx.reply(token, event::Reply::Accept(Reply::Unavailable { why }));
 }
--- a/crates/kernel/src/accept/commit.rs
+++ b/crates/kernel/src/accept/commit.rs
@@ -1,4 +1,4 @@
-//! The committer: it gathers submissions and puts them into the table, one transaction at a time.
+//! The committer: gathers submissions and writes them to the table, one transaction at a time.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -8,8 +8,8 @@
 use crate::{
     accept::{
         Origin, QUEUE_BYTES, QUEUE_MAX, Verdict, WINDOW_MAX, accepted,
-        decide::{self, Checked, Draft, Fate},
-        follow,
+        decide::{self, Checked, Decision, Draft},
+        read_log,
         rows::{self, HEAD_KEY, ServiceRow, log_key, service_key},
     },
     clock::Ms,
@@ -21,20 +21,20 @@
     utils::backoff,
 };
 
-/// Submissions that wait for a transaction of this node, and that transaction.
+/// Submissions that wait to be committed by this node, and the transaction in flight.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     waiting: VecDeque<Waiting>,
     bytes: usize,
     stage: Stage,
-    /// When the next transaction begins.
+    /// Start time of the next transaction.
     due: Ms,
-    /// When the last finished reading of the table's log began.
+    /// Start time of the last completed read of the table's log.
     read: Ms,
     failures: u32,
-    /// Why the last attempt failed.
+    /// Reason of the last failure.
     why: String,
-    /// The last batch that this node committed.
+    /// Position of the last batch that this node committed.
     committed: Seq,
 }
 
@@ -42,20 +42,20 @@
 struct Waiting {
     checked: Checked,
     origins: Vec<Origin>,
-    /// When it came, or was last in doubt: a log read earlier says nothing of it.
+    /// Time of arrival, or of the last write with an unknown outcome. Only a later read of the log counts.
     since: Ms,
     deadline: Ms,
-    trace: Trace,
+    prior_write: PriorWrite,
 }
 
-/// Where a submission may already be written.
+/// Whether and where a submission may already be in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Trace {
-    /// Nowhere.
-    Clean,
-    /// In the batch of this number, unless the log holds another one there.
-    Slot(Seq),
-    /// Another node may be committing it.
+pub(super) enum PriorWrite {
+    /// It was not written.
+    None,
+    /// It may be in the batch at this position, unless the log holds another one there.
+    At(Seq),
+    /// Another node may commit it.
     Elsewhere,
 }
 
@@ -71,23 +71,22 @@
     Backoff(Ms),
 }
 
-/// Version of an entry of the log: it is written once.
+/// Version of the rows of log entries, which are written once.
 const WRITTEN: u64 = 1;
 
-/// Failures in a row after which the table counts as down.
+/// Number of consecutive failures after which waiting submissions are rejected.
 ///
-/// Held until their deadline, submissions surely not written would be answered so late that the node that
-/// forwarded them has long taken them back in doubt: its operator would hear «unknown» of what was never
-/// tried. Their backoff adds up to 1.6 s at most, less than
-/// [`super::FORWARD_TIMEOUT`].
-const DOWN_FAILURES: u32 = 5;
+/// The back-off until then (at most 1.6 s) is shorter than [`super::FORWARD_TIMEOUT`], so that a node that
+/// forwarded a submission learns that it was not written before it has to report an unknown outcome.
+const FAILURES_MAX: u32 = 5;
 
+/// Initial and maximum back-off after a failure, in ms.
 const BACKOFF: u64 = 25;
 const BACKOFF_MAX: u64 = 2_000;
 
 impl Queue {
-    /// Adds `origin` to those who wait for `id`, if it is here.
-    pub fn join(&mut self, id: SubmitId, origin: Origin) -> bool {
+    /// Adds `origin` to the receivers of the verdict on `id`. Returns whether the submission waits here.
+    pub fn add_origin(&mut self, id: SubmitId, origin: Origin) -> bool {
         let Some(it) = self.waiting.iter_mut().find(|it| it.id() == id) else {
             return false;
         };
@@ -97,41 +96,39 @@
         true
     }
 
-    /// Submissions that wait here.
+    /// Returns the number of waiting submissions.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// The last batch that this node committed.
+    /// Returns the position of the last batch that this node committed.
     pub fn committed(&self) -> Seq {
         self.committed
     }
 
-    /// Another node says that `id` was accepted: returns who waits for it here.
-    pub fn release(&mut self, id: SubmitId) -> Vec<Origin> {
+    /// Removes and returns the receivers of the verdict on `id`.
+    pub fn take_origins(&mut self, id: SubmitId) -> Vec<Origin> {
         let found = self.waiting.iter_mut().find(|it| it.id() == id);
         found.map_or_else(Vec::new, |it| std::mem::take(&mut it.origins))
     }
 
-    fn in_flight(&self, id: SubmitId) -> bool {
+    fn is_in_flight(&self, id: SubmitId) -> bool {
         match &self.stage {
             Stage::Committing { batch, .. } => batch.changes.iter().any(|it| it.id == id),
             Stage::Idle | Stage::Reading | Stage::Backoff(_) => false,
         }
     }
 
-    /// Removes those that `gone` holds for.
-    fn take(&mut self, gone: impl Fn(&Waiting) -> bool) -> Vec<Waiting> {
+    /// Removes and returns the submissions that `wanted` accepts.
+    fn remove_where(&mut self, wanted: impl Fn(&Waiting) -> bool) -> Vec<Waiting> {
         let all = std::mem::take(&mut self.waiting);
-        let (out, rest): (Vec<Waiting>, Vec<Waiting>) = all.into_iter().partition(|it| gone(it));
+        let (out, rest): (Vec<Waiting>, Vec<Waiting>) = all.into_iter().partition(|it| wanted(it));
         self.bytes -= out.iter().map(|it| it.checked.len()).sum::<usize>();
         self.waiting = rest.into();
         out
     }
 
-    /// Waits before the next attempt, at least `least` ms.
-    ///
-    /// Committers that collide would collide again if they waited equally long; full jitter spreads them.
+    /// Delays the next attempt by at least `least` ms. Full jitter keeps committers from conflicting again.
     fn back_off(&mut self, cx: &mut Context<'_>, least: u64) {
         self.failures += 1;
         let wait = backoff(cx.rng, BACKOFF, BACKOFF_MAX, self.failures);
@@ -151,24 +148,24 @@
         }
     }
 
-    /// The verdict for want of a better one.
-    fn give_up(&self, why: &str) -> Verdict {
-        match self.trace {
-            Trace::Clean => Verdict::Unavailable {
+    /// Returns the verdict on a submission that is given up.
+    fn fallback_verdict(&self, why: &str) -> Verdict {
+        match self.prior_write {
+            PriorWrite::None => Verdict::Unavailable {
                 why: why.to_owned(),
             },
-            Trace::Slot(_) | Trace::Elsewhere => Verdict::Unknown { id: self.id() },
+            PriorWrite::At(_) | PriorWrite::Elsewhere => Verdict::Unknown { id: self.id() },
         }
     }
 }
 
-/// Takes in a submission that this node is to commit.
+/// Adds a submission to the queue of this node, or rejects it if the queue is full.
 pub(super) fn enqueue(
     cx: &mut Context<'_>,
     state: &mut State,
     checked: Checked,
     origins: Vec<Origin>,
-    trace: Trace,
+    prior_write: PriorWrite,
     deadline: Ms,
 ) {
     let queue = &mut state.accept.queue;
@@ -177,13 +174,13 @@
         origins,
         since: cx.now,
         deadline,
-        trace,
+        prior_write,
     };
     let bytes = queue.bytes + waiting.checked.len();
     if queue.len() >= QUEUE_MAX || bytes > QUEUE_BYTES {
         let count = queue.len();
-        let why = format!("{count} submissions wait on this node already; submit again soon");
-        let verdict = waiting.give_up(&why);
+        let why = format!("{count} submissions already wait on this node; submit again later");
+        let verdict = waiting.fallback_verdict(&why);
         return waiting.answer(cx, &verdict);
     }
     if queue.waiting.is_empty() {
@@ -193,8 +190,8 @@
     queue.waiting.push_back(waiting);
 }
 
-/// Begins what is due.
-pub(super) fn advance(cx: &mut Context<'_>, state: &mut State) {
+/// Starts the next transaction or read of the log if it is due.
+pub(super) fn start_due(cx: &mut Context<'_>, state: &mut State) {
     let queue = &mut state.accept.queue;
     if matches!(queue.stage, Stage::Backoff(until) if until <= cx.now) {
         queue.stage = Stage::Idle;
@@ -202,14 +199,14 @@
     if !matches!(queue.stage, Stage::Idle) || queue.waiting.is_empty() || queue.due > cx.now {
         return;
     }
-    let unread = |it: &Waiting| it.trace != Trace::Clean && it.since > queue.read;
-    if queue.waiting.iter().any(unread) {
-        return begin_read(cx, state);
+    let needs_read = |it: &Waiting| it.prior_write != PriorWrite::None && it.since > queue.read;
+    if queue.waiting.iter().any(needs_read) {
+        return start_read(cx, state);
     }
-    attempt(cx, state);
+    try_commit(cx, state);
 }
 
-/// Gives a verdict to those whose time is up.
+/// Answers the submissions whose deadline has passed.
 pub(super) fn expire(cx: &mut Context<'_>, state: &mut State) {
     let queue = &mut state.accept.queue;
     let late: BTreeSet<SubmitId> = queue
@@ -220,32 +217,32 @@
         .collect();
     for id in late
         .iter()
-        .filter(|id| queue.in_flight(**id))
+        .filter(|id| queue.is_in_flight(**id))
         .copied()
         .collect::<Vec<_>>()
     {
-        for origin in queue.release(id) {
+        for origin in queue.take_origins(id) {
             origin.answer(cx, id, Verdict::Unknown { id });
         }
     }
-    let flying: BTreeSet<SubmitId> = late
+    let in_flight: BTreeSet<SubmitId> = late
         .iter()
-        .filter(|it| queue.in_flight(**it))
+        .filter(|it| queue.is_in_flight(**it))
         .copied()
         .collect();
-    let gone = queue.take(|it| late.contains(&it.id()) && !flying.contains(&it.id()));
+    let expired = queue.remove_where(|it| late.contains(&it.id()) && !in_flight.contains(&it.id()));
     let why = match queue.why.is_empty() {
-        true => "no time was left to commit it; submit again soon".to_owned(),
+        true => "the submission was not committed in time; submit it again".to_owned(),
         false => queue.why.clone(),
     };
-    for it in gone {
-        let verdict = it.give_up(&why);
+    for it in expired {
+        let verdict = it.fallback_verdict(&why);
         it.answer(cx, &verdict);
     }
 }
 
-/// The table answered; `call` may be anybody's.
-pub(super) fn answered(
+/// Handles an answer of the table; `call` may belong to another operation.
+pub(super) fn handle_table_answer(
     cx: &mut Context<'_>,
     state: &mut State,
     call: CallId,
@@ -258,35 +255,37 @@
     };
     queue.stage = Stage::Idle;
     match answer {
-        TableAnswer::Committed => committed(cx, state, batch),
+        TableAnswer::Committed => handle_committed(cx, state, batch),
         TableAnswer::Conflict(_) => {
-            queue.why = "other committers came first; submit again soon".to_owned();
+            queue.why = "other committers wrote to the log first; submit again".to_owned();
             queue.failures += 1;
-            begin_read(cx, state);
+            start_read(cx, state);
         }
         TableAnswer::Failed(Fault::Unavailable) => {
-            failed(cx, queue, &Fault::Unavailable, 0);
-            give_up_if_down(cx, state);
+            record_failure(cx, queue, &Fault::Unavailable, 0);
+            reject_if_down(cx, state);
         }
-        TableAnswer::Failed(fault @ Fault::Throttled { after }) => failed(cx, queue, fault, *after),
-        TableAnswer::Failed(fault @ Fault::Invalid(_)) => rejected(cx, queue, &batch, fault),
+        TableAnswer::Failed(fault @ Fault::Throttled { after }) => {
+            record_failure(cx, queue, fault, *after)
+        }
+        TableAnswer::Failed(fault @ Fault::Invalid(_)) => reject_batch(cx, queue, &batch, fault),
         TableAnswer::Failed(Fault::Unknown) | TableAnswer::Rows(_) => {
-            lost(cx, queue, &batch);
-            failed(cx, queue, &Fault::Unknown, 0);
+            mark_uncertain(cx, queue, &batch);
+            record_failure(cx, queue, &Fault::Unknown, 0);
         }
     }
 }
 
-/// The log was read from the table.
-pub(super) fn read(cx: &mut Context<'_>, state: &mut State) {
+/// Handles a completed read of the table's log.
+pub(super) fn handle_log_read(cx: &mut Context<'_>, state: &mut State) {
     answer_accepted(cx, state);
     let held = state.log.seq();
     let queue = &mut state.accept.queue;
     queue.read = state.accept.reader.began();
     for it in &mut queue.waiting {
-        // The log holds that batch, and it is not the one that this submission was in.
-        if matches!(it.trace, Trace::Slot(seq) if seq <= held) {
-            it.trace = Trace::Clean;
+        // The log holds another batch at that position, so the earlier write had no effect.
+        if matches!(it.prior_write, PriorWrite::At(seq) if seq <= held) {
+            it.prior_write = PriorWrite::None;
         }
     }
     if matches!(queue.stage, Stage::Reading) {
@@ -297,72 +296,74 @@
     }
 }
 
-/// The log could not be read from the table.
-pub(super) fn unread(cx: &mut Context<'_>, state: &mut State) {
+/// Handles a failed read of the table's log.
+pub(super) fn handle_read_failure(cx: &mut Context<'_>, state: &mut State) {
     let queue = &mut state.accept.queue;
     if !matches!(queue.stage, Stage::Reading) {
         return;
     }
-    failed(cx, queue, &Fault::Unavailable, 0);
-    if queue.failures >= DOWN_FAILURES {
-        give_up(cx, queue);
+    record_failure(cx, queue, &Fault::Unavailable, 0);
+    if queue.failures >= FAILURES_MAX {
+        reject_unwritten(cx, queue);
     }
 }
 
-fn begin_read(cx: &mut Context<'_>, state: &mut State) {
+fn start_read(cx: &mut Context<'_>, state: &mut State) {
     state.accept.queue.stage = Stage::Reading;
-    follow(cx, state);
+    read_log(cx, state);
 }
 
-fn attempt(cx: &mut Context<'_>, state: &mut State) {
+fn try_commit(cx: &mut Context<'_>, state: &mut State) {
     while !state.accept.queue.waiting.is_empty() {
-        let count = bring_forward(state);
+        let count = move_selected_first(state);
         let queue = &state.accept.queue;
         let waiting = queue.waiting.iter().map(|it| &it.checked).take(count);
         let waiting: Vec<&Checked> = waiting.collect();
         let draft = decide::draft(&state.log, &waiting, cx.now);
-        let fates = queue.waiting.iter().zip(&draft.fates);
-        let unread = |(it, fate): (&Waiting, &Fate)| {
-            matches!(fate, Fate::Doubtful(_)) && it.since > queue.read
+        let decisions = queue.waiting.iter().zip(&draft.decisions);
+        let needs_read = |(it, decision): (&Waiting, &Decision)| {
+            matches!(decision, Decision::Provisional(_)) && it.since > queue.read
         };
-        // Refused for what another committer may have changed meanwhile: look before saying so.
-        if fates.into_iter().any(unread) {
-            return begin_read(cx, state);
+        // Another committer may have changed what the refusal is based on; read the log first.
+        if decisions.into_iter().any(needs_read) {
+            return start_read(cx, state);
         }
-        let Draft { entry, fates } = draft;
-        decided(cx, &mut state.accept.queue, fates);
+        let Draft { entry, decisions } = draft;
+        answer_decided(cx, &mut state.accept.queue, decisions);
         if !entry.batch.changes.is_empty() {
-            return commit(cx, &mut state.accept.queue, entry);
+            return start_commit(cx, &mut state.accept.queue, entry);
         }
     }
 }
 
-/// Moves those that go into the next transaction to the front, in their order, and counts them.
-fn bring_forward(state: &mut State) -> usize {
+/// Moves the submissions for the next transaction to the front, in order, and returns their number.
+fn move_selected_first(state: &mut State) -> usize {
     let queue = &mut state.accept.queue;
     let waiting: Vec<&Checked> = queue.waiting.iter().map(|it| &it.checked).collect();
-    let picked = decide::fitting(&state.log, &waiting);
+    let selected = decide::select_next(&state.log, &waiting);
     let all = std::mem::take(&mut queue.waiting).into_iter().enumerate();
-    let (front, rest): (Vec<_>, Vec<_>) = all.partition(|it| picked.contains(&it.0));
+    let (front, rest): (Vec<_>, Vec<_>) = all.partition(|it| selected.contains(&it.0));
     queue.waiting = front.into_iter().chain(rest).map(|it| it.1).collect();
-    picked.len()
+    selected.len()
 }
 
-/// Answers those of the first `fates.len()` that have a verdict.
-fn decided(cx: &mut Context<'_>, queue: &mut Queue, fates: Vec<Fate>) {
+/// Answers those of the first `decisions.len()` submissions that have a verdict.
+fn answer_decided(cx: &mut Context<'_>, queue: &mut Queue, decisions: Vec<Decision>) {
     let mut rest = VecDeque::new();
-    for fate in fates {
+    for decision in decisions {
         let Some(it) = queue.waiting.pop_front() else {
             break;
         };
-        let verdict = match (fate, it.trace) {
-            (Fate::Chosen | Fate::Later, _) => {
+        let verdict = match (decision, it.prior_write) {
+            (Decision::Chosen | Decision::Later, _) => {
                 rest.push_back(it);
                 continue;
             }
-            (Fate::Final(verdict), _) | (Fate::Doubtful(verdict), Trace::Clean) => verdict,
-            // It is refused here, but a write that is still on its way may put it into the log.
-            (Fate::Doubtful(_), Trace::Slot(_) | Trace::Elsewhere) => {
+            (Decision::Final(verdict), _) | (Decision::Provisional(verdict), PriorWrite::None) => {
+                verdict
+            }
+            // The submission is refused, but an earlier write may still put it into the log.
+            (Decision::Provisional(_), PriorWrite::At(_) | PriorWrite::Elsewhere) => {
                 Verdict::Unknown { id: it.id() }
             }
         };
@@ -373,7 +374,7 @@
     queue.waiting = rest;
 }
 
-fn commit(cx: &mut Context<'_>, queue: &mut Queue, entry: super::Entry) {
+fn start_commit(cx: &mut Context<'_>, queue: &mut Queue, entry: super::Entry) {
     let seq = entry.batch.seq;
     let before = match seq {
         Seq(1) => Check {
@@ -390,12 +391,12 @@
         version: ABSENT,
     };
     let mut writes = vec![
-        put(log_key(seq), rows::value(&entry)),
-        put(HEAD_KEY.to_owned(), seq.0.to_le_bytes().to_vec()),
+        put_write(log_key(seq), rows::value(&entry)),
+        put_write(HEAD_KEY.to_owned(), seq.0.to_le_bytes().to_vec()),
     ];
     writes.extend(entry.batch.changes.iter().map(service_write));
     let checks = vec![before, absent];
-    // Raised first: the witnesses' messages are under way before the table can answer.
+    // Raised before the write, so that other nodes learn of the position before the table can answer.
     cx.raise(Notice::Proposed { seq });
     let call = cx.table(TableOp::Commit { checks, writes });
     let batch = Arc::new(entry.batch);
@@ -411,19 +412,19 @@
                 author: change.author.clone(),
                 text: text.clone(),
             };
-            put(key, rows::value(&row))
+            put_write(key, rows::value(&row))
         }
         Edit::Delete => Write::Delete { key },
     }
 }
 
-fn put(key: String, value: Vec<u8>) -> Write {
+fn put_write(key: String, value: Vec<u8>) -> Write {
     Write::Put { key, value }
 }
 
-fn committed(cx: &mut Context<'_>, state: &mut State, batch: Arc<Batch>) {
+fn handle_committed(cx: &mut Context<'_>, state: &mut State, batch: Arc<Batch>) {
     let seq = batch.seq;
-    // Another node may have read the batch from the table and sent it here before the answer came.
+    // No effect if another node has already read the batch from the table and sent it here.
     state.log.apply(batch);
     let queue = &mut state.accept.queue;
     queue.failures = 0;
@@ -434,68 +435,68 @@
     answer_accepted(cx, state);
 }
 
-/// Answers every submission that the log holds.
+/// Answers every waiting submission that the log holds.
 fn answer_accepted(cx: &mut Context<'_>, state: &mut State) {
     let State { accept, log, .. } = state;
-    for it in accept.queue.take(|it| log.accepted(it.id()).is_some()) {
+    for it in accept
+        .queue
+        .remove_where(|it| log.accepted(it.id()).is_some())
+    {
         let Some(seq) = log.accepted(it.id()) else {
             continue;
         };
-        if matches!(it.trace, Trace::Slot(_)) {
+        if matches!(it.prior_write, PriorWrite::At(_)) {
             cx.raise(Notice::Accepted { seq });
         }
         it.answer(cx, &accepted(seq));
     }
 }
 
-fn failed(cx: &mut Context<'_>, queue: &mut Queue, fault: &Fault, least: u64) {
+fn record_failure(cx: &mut Context<'_>, queue: &mut Queue, fault: &Fault, least: u64) {
     queue.why = fault.to_string();
     queue.back_off(cx, least);
 }
 
-/// Refuses what was surely not written once the table counts as down.
+/// Rejects the submissions that were not written if the table failed too often.
 ///
-/// A submission may be here for the second time, its first copy accepted through another node: the log is
-/// read before it is told that nothing was changed, if the table lets itself be read.
-fn give_up_if_down(cx: &mut Context<'_>, state: &mut State) {
+/// An earlier copy of a submission may have been accepted through another node, so the log is read first.
+fn reject_if_down(cx: &mut Context<'_>, state: &mut State) {
     let queue = &state.accept.queue;
-    if queue.failures < DOWN_FAILURES {
+    if queue.failures < FAILURES_MAX {
         return;
     }
-    let unread = |it: &Waiting| it.trace == Trace::Clean && it.since > queue.read;
-    match queue.waiting.iter().any(unread) {
-        true => begin_read(cx, state),
-        false => give_up(cx, &mut state.accept.queue),
+    let needs_read = |it: &Waiting| it.prior_write == PriorWrite::None && it.since > queue.read;
+    match queue.waiting.iter().any(needs_read) {
+        true => start_read(cx, state),
+        false => reject_unwritten(cx, &mut state.accept.queue),
     }
 }
 
-fn give_up(cx: &mut Context<'_>, queue: &mut Queue) {
-    for it in queue.take(|it| it.trace == Trace::Clean) {
-        let verdict = it.give_up(&queue.why);
+fn reject_unwritten(cx: &mut Context<'_>, queue: &mut Queue) {
+    for it in queue.remove_where(|it| it.prior_write == PriorWrite::None) {
+        let verdict = it.fallback_verdict(&queue.why);
         it.answer(cx, &verdict);
     }
 }
 
-/// The answer was lost, so the batch may be in the table.
+/// Marks the submissions of a batch whose write has an unknown outcome.
 ///
-/// The table keeps no list of writes under way: one that seems absent now may still arrive. So the
-/// submissions stay marked until the log holds a batch at that position, theirs or another; a second
-/// attempt at the position excludes the first.
-fn lost(cx: &Context<'_>, queue: &mut Queue, batch: &Batch) {
+/// The write may still take effect later, so they stay marked until the log holds a batch at that position.
+fn mark_uncertain(cx: &Context<'_>, queue: &mut Queue, batch: &Batch) {
     let ids: BTreeSet<SubmitId> = batch.changes.iter().map(|it| it.id).collect();
     for it in queue.waiting.iter_mut().filter(|it| ids.contains(&it.id())) {
         it.since = cx.now;
-        if it.trace == Trace::Clean {
-            it.trace = Trace::Slot(batch.seq);
+        if it.prior_write == PriorWrite::None {
+            it.prior_write = PriorWrite::At(batch.seq);
         }
     }
 }
 
-/// The table will never take this transaction.
-fn rejected(cx: &mut Context<'_>, queue: &mut Queue, batch: &Batch, fault: &Fault) {
+/// Answers the submissions of a transaction that the table refuses permanently.
+fn reject_batch(cx: &mut Context<'_>, queue: &mut Queue, batch: &Batch, fault: &Fault) {
     let ids: BTreeSet<SubmitId> = batch.changes.iter().map(|it| it.id).collect();
-    for it in queue.take(|it| ids.contains(&it.id())) {
-        let verdict = it.give_up(&fault.to_string());
+    for it in queue.remove_where(|it| ids.contains(&it.id())) {
+        let verdict = it.fallback_verdict(&fault.to_string());
         it.answer(cx, &verdict);
     }
 }
--- a/crates/kernel/src/accept/decide.rs
+++ b/crates/kernel/src/accept/decide.rs
@@ -1,4 +1,4 @@
-//! What one transaction makes of the submissions that wait.
+//! Decides which waiting submissions form the next transaction, and on the verdicts of the others.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -19,51 +19,51 @@
     platform::VALUE_MAX,
 };
 
-/// A submission whose document was checked.
+/// A submission with a valid document.
 #[derive(Clone, Debug)]
 pub(super) struct Checked {
     pub submission: Submission,
-    /// Absent for a deletion.
+    /// `None` for a deletion.
     document: Option<Arc<Document>>,
 }
 
-/// What becomes of one submission.
+/// Decision on one submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Fate {
-    /// It is part of the batch.
+pub(super) enum Decision {
+    /// The submission is part of the batch.
     Chosen,
-    /// It is decided after the batch.
+    /// The submission is decided after the batch.
     Later,
-    /// Its verdict holds whatever the table's log has more than this one.
+    /// The verdict is independent of entries of the table's log that this node lacks.
     Final(Verdict),
-    /// Its verdict holds if the table's log has no more than this one.
-    Doubtful(Verdict),
+    /// The verdict holds only if this node has the whole log of the table.
+    Provisional(Verdict),
 }
 
-/// A batch and the fates of the submissions that it was made from.
+/// A batch and the decisions on the submissions that it was drafted from.
 #[derive(Debug)]
 pub(super) struct Draft {
     pub entry: Entry,
-    pub fates: Vec<Fate>,
+    pub decisions: Vec<Decision>,
 }
 
-/// Room that a row's value leaves for what is not counted submission by submission.
-const ROW_SPARE: usize = 4 * 1024;
+/// Bytes of a row's value that are reserved for fields that are not counted per submission.
+const ROW_RESERVE: usize = 4 * 1024;
 
-/// Bytes of a change beside its texts, and of a diff beside its lines.
-const CHANGE_SPARE: usize = 160;
+/// Maximum bytes of a change without its texts, and of a diff without its lines.
+const CHANGE_OVERHEAD: usize = 160;
 
-/// What some submissions add to a transaction.
+/// Size that submissions add to a transaction.
 #[derive(Clone, Copy, Debug, Default)]
-struct Weight {
+struct Size {
     changes: usize,
     batch: usize,
     row: usize,
 }
 
-impl Weight {
-    fn plus(self, other: Weight) -> Weight {
-        Weight {
+impl Size {
+    fn plus(self, other: Size) -> Size {
+        Size {
             changes: self.changes + other.changes,
             batch: self.batch + other.batch,
             row: self.row + other.row,
@@ -71,12 +71,14 @@
     }
 
     fn fits(self) -> bool {
-        self.changes <= CHANGES_MAX && self.batch <= BATCH_MAX && self.row <= VALUE_MAX - ROW_SPARE
+        self.changes <= CHANGES_MAX
+            && self.batch <= BATCH_MAX
+            && self.row <= VALUE_MAX - ROW_RESERVE
     }
 }
 
 impl Checked {
-    /// Checks everything that needs no other service. The error names the remedy.
+    /// Checks everything that does not depend on other services. The error says how to fix the submission.
     pub fn new(submission: &Submission) -> Result<Checked, String> {
         let (author, reason) = (submission.author.len(), submission.reason.len());
         if author == 0 || author > AUTHOR_MAX {
@@ -95,20 +97,20 @@
         })
     }
 
-    /// Upper bound of the bytes that it adds to a batch and to its row.
-    fn weight(&self, log: &Log) -> Weight {
+    /// Returns an upper bound of what the submission adds to a batch and its row.
+    fn size(&self, log: &Log) -> Size {
         let it = &self.submission;
-        let batch = self.len() + it.author.len() + it.reason.len() + CHANGE_SPARE;
+        let batch = self.len() + it.author.len() + it.reason.len() + CHANGE_OVERHEAD;
         let old = log.latest().get(&it.service);
-        let diff = 2 * (self.len() + old.map_or(0, |it| it.text.len())) + CHANGE_SPARE;
-        Weight {
+        let diff = 2 * (self.len() + old.map_or(0, |it| it.text.len())) + CHANGE_OVERHEAD;
+        Size {
             changes: 1,
             batch,
             row: batch + diff.min(DIFF_MAX),
         }
     }
 
-    /// Bytes of the document.
+    /// Returns the size of the document in bytes.
     pub fn len(&self) -> usize {
         match &self.submission.edit {
             Edit::Put { text } => text.len(),
@@ -116,8 +118,8 @@
         }
     }
 
-    /// Which of its routes name a service that does not exist, and where in the text.
-    fn dangling(&self, exists: impl Fn(&Name) -> bool) -> Option<String> {
+    /// Describes the routes that use a service that does not exist, with their places in the text.
+    fn unresolved_uses(&self, exists: impl Fn(&Name) -> bool) -> Option<String> {
         match &self.submission.edit {
             Edit::Put { text } => Some(check_uses(text, exists).err()?.to_string()),
             Edit::Delete => None,
@@ -140,64 +142,64 @@
     Ok(document)
 }
 
-/// Which of `waiting` go into the next transaction: the first ones, with all that they need.
+/// Selects the submissions for the next transaction: the first ones and all that they depend on.
 ///
-/// Services that route to each other can only be created together. Were the bound to fall between them,
-/// one would be refused for want of the other, which waits right behind it.
-pub(super) fn fitting(log: &Log, waiting: &[&Checked]) -> BTreeSet<usize> {
+/// New services that route to each other must be created in one transaction; split over two, the first would be
+/// refused.
+pub(super) fn select_next(log: &Log, waiting: &[&Checked]) -> BTreeSet<usize> {
     let mut first: BTreeMap<&Name, usize> = BTreeMap::new();
     for (index, it) in waiting.iter().enumerate() {
         first.entry(&it.submission.service).or_insert(index);
     }
-    let mut picked = BTreeSet::new();
-    let mut weight = Weight::default();
+    let mut selected = BTreeSet::new();
+    let mut size = Size::default();
     for index in 0..waiting.len() {
-        let group = needed(log, waiting, &first, index, &picked);
-        let group_weight = group.iter().map(|it| waiting[*it].weight(log));
-        let sum = group_weight.fold(weight, Weight::plus);
+        let group = dependency_group(log, waiting, &first, index, &selected);
+        let group_size = group.iter().map(|it| waiting[*it].size(log));
+        let sum = group_size.fold(size, Size::plus);
         if sum.fits() {
-            weight = sum;
-            picked.extend(group);
-        } else if picked.is_empty() {
-            // Too many that need each other: each gets its verdict alone.
+            size = sum;
+            selected.extend(group);
+        } else if selected.is_empty() {
+            // The group does not fit into one transaction, so its first submission is decided alone.
             return BTreeSet::from([index]);
         } else {
             break;
         }
     }
-    picked
+    selected
 }
 
-/// `index` and the submissions of services that do not exist yet and that it routes to, over any number of
-/// steps; without those in `picked`.
-fn needed(
+/// Returns `index` and, transitively, the submissions of new services that it routes to, except those in
+/// `selected`.
+fn dependency_group(
     log: &Log,
     waiting: &[&Checked],
     first: &BTreeMap<&Name, usize>,
     index: usize,
-    picked: &BTreeSet<usize>,
+    selected: &BTreeSet<usize>,
 ) -> BTreeSet<usize> {
     let mut group = BTreeSet::new();
-    let mut open = vec![index];
-    while let Some(index) = open.pop() {
-        if picked.contains(&index) || !group.insert(index) {
+    let mut pending = vec![index];
+    while let Some(index) = pending.pop() {
+        if selected.contains(&index) || !group.insert(index) {
             continue;
         }
         let uses = waiting[index].uses();
-        let lacking = uses.filter(|it| !log.latest().contains_key(*it));
-        open.extend(lacking.filter_map(|it| first.get(it)));
+        let missing = uses.filter(|it| !log.latest().contains_key(*it));
+        pending.extend(missing.filter_map(|it| first.get(it)));
     }
     group
 }
 
-/// Decides `waiting`, in order, on top of `log`.
+/// Drafts the next batch from `waiting`, in order, on top of `log`.
 pub(super) fn draft(log: &Log, waiting: &[&Checked], now: Ms) -> Draft {
     let mut plan = Plan::new(log, waiting);
-    plan.settle();
+    plan.refuse_unresolved();
     let chosen = plan.heads().into_values().collect::<Vec<usize>>();
-    let mut fates = plan.fates;
+    let mut decisions = plan.decisions;
     for it in &chosen {
-        fates[*it] = Fate::Chosen;
+        decisions[*it] = Decision::Chosen;
     }
     let seq = Seq(log.seq().0 + 1);
     let submissions = chosen.iter().map(|it| &waiting[*it].submission);
@@ -206,16 +208,16 @@
     let batch = Batch { seq, changes };
     Draft {
         entry: Entry { batch, diffs },
-        fates,
+        decisions,
     }
 }
 
-/// The submissions that may still be chosen, for each service in order of arrival.
+/// The submissions that may still be chosen, by service and in order of arrival.
 struct Plan<'a> {
     log: &'a Log,
     waiting: &'a [&'a Checked],
-    lanes: BTreeMap<&'a Name, VecDeque<usize>>,
-    fates: Vec<Fate>,
+    queues: BTreeMap<&'a Name, VecDeque<usize>>,
+    decisions: Vec<Decision>,
 }
 
 impl<'a> Plan<'a> {
@@ -223,45 +225,44 @@
         let mut plan = Plan {
             log,
             waiting,
-            lanes: BTreeMap::new(),
-            fates: vec![Fate::Later; waiting.len()],
+            queues: BTreeMap::new(),
+            decisions: vec![Decision::Later; waiting.len()],
         };
         for (index, it) in waiting.iter().enumerate() {
             match check_base(log, &it.submission) {
-                Some(fate) => plan.fates[index] = fate,
+                Some(decision) => plan.decisions[index] = decision,
                 None => {
-                    let lane = plan.lanes.entry(&it.submission.service).or_default();
-                    lane.push_back(index);
+                    let queue = plan.queues.entry(&it.submission.service).or_default();
+                    queue.push_back(index);
                 }
             }
         }
         plan
     }
 
-    /// Takes out every submission whose result would not resolve, until all do.
+    /// Refuses submissions until all references of the result resolve.
     ///
-    /// The result must not depend on the order of arrival between services, or a wrong submission could
-    /// make a right one fail. So puts are settled as if nothing were deleted, and deletions after them:
-    /// either step only takes out, which has one outcome.
-    fn settle(&mut self) {
-        while let Some((index, why)) = self.dangling_put().or_else(|| self.dangling_delete()) {
-            self.fates[index] = Fate::Doubtful(Verdict::Refused { why });
+    /// Puts are checked first, as if nothing were deleted, then deletions. Both steps only remove submissions, so
+    /// the result does not depend on the order of arrival between services.
+    fn refuse_unresolved(&mut self) {
+        while let Some((index, why)) = self.unresolved_put().or_else(|| self.unresolved_delete()) {
+            self.decisions[index] = Decision::Provisional(Verdict::Refused { why });
             let service = &self.waiting[index].submission.service;
-            if let Some(lane) = self.lanes.get_mut(service) {
-                lane.pop_front();
+            if let Some(queue) = self.queues.get_mut(service) {
+                queue.pop_front();
             }
         }
     }
 
-    /// The first of each lane.
+    /// Returns the first submission of each service.
     fn heads(&self) -> BTreeMap<&'a Name, usize> {
-        let heads = self.lanes.iter();
+        let heads = self.queues.iter();
         heads
-            .filter_map(|(name, lane)| Some((*name, *lane.front()?)))
+            .filter_map(|(name, queue)| Some((*name, *queue.front()?)))
             .collect()
     }
 
-    fn dangling_put(&self) -> Option<(usize, String)> {
+    fn unresolved_put(&self) -> Option<(usize, String)> {
         let heads = self.heads();
         let put = |it: &Name| {
             heads
@@ -271,30 +272,30 @@
         let exists = |it: &Name| put(it) || self.log.latest().contains_key(it);
         heads.values().find_map(|index| {
             let it = self.waiting[*index];
-            let lacking = it.uses().find(|it| !exists(it))?;
-            let why = it.dangling(exists);
+            let missing = it.uses().find(|it| !exists(it))?;
+            let why = it.unresolved_uses(exists);
             Some((
                 *index,
-                why.unwrap_or_else(|| format!("{lacking} does not exist; submit it first")),
+                why.unwrap_or_else(|| format!("{missing} does not exist; submit it first")),
             ))
         })
     }
 
-    fn dangling_delete(&self) -> Option<(usize, String)> {
+    fn unresolved_delete(&self) -> Option<(usize, String)> {
         let heads = self.heads();
         let mut deletes = heads
             .iter()
             .filter(|it| self.waiting[*it.1].document.is_none());
-        deletes.find_map(|(name, index)| Some((*index, self.user(name, &heads)?)))
+        deletes.find_map(|(name, index)| Some((*index, self.deletion_obstacle(name, &heads)?)))
     }
 
-    /// Why `name` cannot be deleted.
-    fn user(&self, name: &Name, heads: &BTreeMap<&Name, usize>) -> Option<String> {
+    /// Returns why `name` cannot be deleted, if it cannot.
+    fn deletion_obstacle(&self, name: &Name, heads: &BTreeMap<&Name, usize>) -> Option<String> {
         let submitted = heads.iter().find(|(user, index)| {
             **user != name && self.waiting[**index].uses().any(|it| it == name)
         });
         if let Some((user, _)) = submitted {
-            return Some(in_use(user));
+            return Some(in_use_message(user));
         }
         let mut rest = self
             .log
@@ -302,7 +303,7 @@
             .iter()
             .filter(|it| !heads.contains_key(it.0));
         rest.find_map(|(user, latest)| match &latest.document {
-            Ok(document) => document.uses().contains(name).then(|| in_use(user)),
+            Ok(document) => document.uses().contains(name).then(|| in_use_message(user)),
             Err(_) => Some(format!(
                 "this node cannot read {user}, which may route to it; submit through an upgraded node"
             )),
@@ -310,32 +311,32 @@
     }
 }
 
-fn in_use(user: &Name) -> String {
+fn in_use_message(user: &Name) -> String {
     format!("{user} routes to it; change {user} first")
 }
 
-/// Decides what needs no other submission.
-fn check_base(log: &Log, submission: &Submission) -> Option<Fate> {
+/// Decides on a submission whose verdict does not depend on other submissions, if possible.
+fn check_base(log: &Log, submission: &Submission) -> Option<Decision> {
     if let Some(seq) = log.accepted(submission.id) {
-        return Some(Fate::Final(accepted(seq)));
+        return Some(Decision::Final(accepted(seq)));
     }
     let latest = log.latest().get(&submission.service);
     let current = latest.map_or(Revision(0), |it| it.revision);
     if submission.base == current {
         let why = "no such service; there is nothing to delete".to_owned();
-        let void = current == Revision(0) && submission.edit == Edit::Delete;
-        return void.then_some(Fate::Doubtful(Verdict::Refused { why }));
+        let deletes_nothing = current == Revision(0) && submission.edit == Edit::Delete;
+        return deletes_nothing.then_some(Decision::Provisional(Verdict::Refused { why }));
     }
     let verdict = conflict(log, submission);
     match submission.base < current && submission.base != Revision(0) {
-        // Revisions only grow: the base has passed for good. Not that of a creation: once the service is
-        // deleted, a copy of the submission on its way to another committer would create it again.
-        true => Some(Fate::Final(verdict)),
-        false => Some(Fate::Doubtful(verdict)),
+        // Revisions only grow, so the base stays outdated. Base zero does not: once the service is deleted, a copy
+        // of the submission at another committer could still create it.
+        true => Some(Decision::Final(verdict)),
+        false => Some(Decision::Provisional(verdict)),
     }
 }
 
-/// Names who came first, and what changed from the submitter's base as far as it is still known.
+/// Returns a conflict with the last author and the diff from the submission's base, as far as still known.
 fn conflict(log: &Log, submission: &Submission) -> Verdict {
     let service = &submission.service;
     let base = log.text_at(service, submission.base).unwrap_or_default();
@@ -344,7 +345,7 @@
         None => (Revision(0), log.last_author(service), ""),
     };
     let revisions = (submission.base, revision);
-    let diff = unified(base, text, revisions, VERDICT_DIFF_MAX);
+    let diff = unified_diff(base, text, revisions, VERDICT_DIFF_MAX);
     Verdict::Conflict {
         revision,
         author,
@@ -372,16 +373,16 @@
         Edit::Delete => "",
     };
     let revisions = (change.base, change.revision);
-    unified(old.map_or("", |it| &it.text), new, revisions, DIFF_MAX)
+    unified_diff(old.map_or("", |it| &it.text), new, revisions, DIFF_MAX)
 }
 
-fn unified(old: &str, new: &str, revisions: (Revision, Revision), most: usize) -> String {
+fn unified_diff(old: &str, new: &str, revisions: (Revision, Revision), max_len: usize) -> String {
     let old_name = format!("revision {}", revisions.0);
     let new_name = format!("revision {}", revisions.1);
     let diff = TextDiff::from_lines(old, new);
     let mut diff = diff.unified_diff();
     let text = diff.header(&old_name, &new_name).to_string();
-    match text.len() <= most {
+    match text.len() <= max_len {
         true => text,
         false => format!("{} bytes; compare {old_name} with {new_name}\n", text.len()),
     }
--- a/crates/kernel/src/accept/forward.rs
+++ b/crates/kernel/src/accept/forward.rs
@@ -1,7 +1,7 @@
-//! Submissions on their way to the region's committer.
+//! Forwards submissions to the region's committer.
 //!
-//! Forwarding gathers a region's submissions into few transactions. It is not needed for safety: any node
-//! may commit, and a submission that two nodes commit is held by the log that the second one has to read.
+//! Forwarding gathers the submissions of a region into few transactions. Safety does not depend on it: any node may
+//! commit, and must read the log first, which holds a submission that another node committed.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,7 +9,7 @@
     accept::{
         FORWARD_TIMEOUT, Message, Origin, QUEUE_MAX, Submission, VERDICT_TIMEOUT, Verdict,
         accepted,
-        commit::{self, Trace},
+        commit::{self, PriorWrite},
         committer,
         decide::Checked,
     },
@@ -20,18 +20,15 @@
     utils::take_due,
 };
 
-/// Submissions that other nodes are to commit.
+/// Submissions that were forwarded to other nodes, and messages received from them.
 #[derive(Debug, Default)]
 pub(super) struct Forwards {
     pending: BTreeMap<SubmitId, Forward>,
-    /// Messages sent so far.
+    /// Number of messages sent.
     sent: u64,
-    /// The last [`QUEUE_MAX`] messages taken in, by sender and attempt.
-    ///
-    /// A copy that arrives after the verdict would be decided anew: an operator who was told `refused`
-    /// would find the change made, once it fits. Copies come within seconds, as long as a connection is
-    /// replaced; this many forwards take longer.
-    taken: VecDeque<(NodeId, u64)>,
+    /// The last [`QUEUE_MAX`] messages received, by sender and attempt. A duplicate that arrives after the verdict
+    /// must be ignored, or a refused submission could be accepted later.
+    received: VecDeque<(NodeId, u64)>,
 }
 
 #[derive(Debug)]
@@ -39,14 +36,14 @@
     checked: Checked,
     origins: Vec<Origin>,
     to: NodeId,
-    /// When this node commits it by itself.
-    until: Ms,
+    /// Time after which this node commits the submission itself.
+    fallback_at: Ms,
     deadline: Ms,
 }
 
 impl Forwards {
-    /// Adds `origin` to those who wait for `id`, if it is here.
-    pub fn join(&mut self, id: SubmitId, origin: Origin) -> bool {
+    /// Adds `origin` to the receivers of the verdict on `id`. Returns whether the submission is pending.
+    pub fn add_origin(&mut self, id: SubmitId, origin: Origin) -> bool {
         let Some(it) = self.pending.get_mut(&id) else {
             return false;
         };
@@ -56,29 +53,29 @@
         true
     }
 
-    /// Whether this is the first message of `from` with this attempt.
+    /// Records a message. Returns whether it is the first from `from` with this attempt.
     fn is_first(&mut self, from: NodeId, attempt: u64) -> bool {
-        if self.taken.contains(&(from, attempt)) {
+        if self.received.contains(&(from, attempt)) {
             return false;
         }
-        if self.taken.len() >= QUEUE_MAX {
-            self.taken.pop_front();
+        if self.received.len() >= QUEUE_MAX {
+            self.received.pop_front();
         }
-        self.taken.push_back((from, attempt));
+        self.received.push_back((from, attempt));
         true
     }
 
-    /// A number that no other message of this node has, in this process or an earlier one.
-    fn attempt(&mut self, incarnation: u64) -> u64 {
+    /// Returns a number that no other message of this node has, including earlier processes.
+    fn next_attempt(&mut self, incarnation: u64) -> u64 {
         self.sent += 1;
         (incarnation << ATTEMPT_BITS).wrapping_add(self.sent)
     }
 }
 
-/// Room for the messages sent within the millisecond of a start; incarnations take the other bits.
+/// Low bits of an attempt that count messages; the incarnation takes the other bits.
 const ATTEMPT_BITS: u32 = 20;
 
-/// Takes in a submission of an operator.
+/// Handles a submission from an operator.
 pub(super) fn submit(
     cx: &mut Context<'_>,
     state: &mut State,
@@ -86,45 +83,52 @@
     submission: &Submission,
 ) {
     let id = submission.id;
-    if let Some(checked) = intake(cx, state, origin, submission)
-        && !state.accept.forwards.join(id, origin)
+    if let Some(checked) = check_submission(cx, state, origin, submission)
+        && !state.accept.forwards.add_origin(id, origin)
     {
         forward(cx, state, origin, checked);
     }
 }
 
-/// Takes in a message of another node.
-pub(super) fn received(cx: &mut Context<'_>, state: &mut State, from: NodeId, message: &Message) {
+/// Handles a message from another node.
+pub(super) fn handle_message(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    from: NodeId,
+    message: &Message,
+) {
     match message {
         Message::Forward {
             submission,
             attempt,
         } => {
             if state.accept.forwards.is_first(from, *attempt) {
-                take_over(cx, state, from, submission);
+                accept_forwarded(cx, state, from, submission);
             }
         }
-        Message::Verdict { id, verdict } => learn(cx, state, from, *id, verdict),
+        Message::Verdict { id, verdict } => handle_verdict(cx, state, from, *id, verdict),
     }
 }
 
-/// Takes back what other nodes did not answer in time.
+/// Commits on this node what other nodes did not answer in time.
 pub(super) fn expire(cx: &mut Context<'_>, state: &mut State) {
     let now = cx.now;
-    for (_, it) in take_due(&mut state.accept.forwards.pending, |_, it| it.until <= now) {
+    for (_, it) in take_due(&mut state.accept.forwards.pending, |_, it| {
+        it.fallback_at <= now
+    }) {
         commit::enqueue(
             cx,
             state,
             it.checked,
             it.origins,
-            Trace::Elsewhere,
+            PriorWrite::Elsewhere,
             it.deadline,
         );
     }
 }
 
-/// Answers what can be answered at once; otherwise returns the checked submission.
-fn intake(
+/// Answers a submission that needs no commit; otherwise returns it checked.
+fn check_submission(
     cx: &mut Context<'_>,
     state: &mut State,
     origin: Origin,
@@ -135,7 +139,7 @@
         origin.answer(cx, id, accepted(seq));
         return None;
     }
-    if state.accept.queue.join(id, origin) {
+    if state.accept.queue.add_origin(id, origin) {
         return None;
     }
     match Checked::new(submission) {
@@ -152,16 +156,16 @@
     let own = cx.settings.node;
     let to = match committer(state, &cx.settings.region) {
         Some(to) if to != own => to,
-        _ => return commit::enqueue(cx, state, checked, vec![origin], Trace::Clean, deadline),
+        _ => return commit::enqueue(cx, state, checked, vec![origin], PriorWrite::None, deadline),
     };
     let count = state.accept.forwards.pending.len();
     let submission = checked.submission.clone();
     let id = submission.id;
     if count >= QUEUE_MAX {
-        let why = format!("{count} submissions wait on this node already; submit again soon");
+        let why = format!("{count} submissions already wait on this node; submit again later");
         return origin.answer(cx, id, Verdict::Unavailable { why });
     }
-    let attempt = state.accept.forwards.attempt(cx.settings.incarnation);
+    let attempt = state.accept.forwards.next_attempt(cx.settings.incarnation);
     let message = Message::Forward {
         submission,
         attempt,
@@ -171,35 +175,46 @@
         checked,
         origins: vec![origin],
         to,
-        until: cx.now + FORWARD_TIMEOUT,
+        fallback_at: cx.now + FORWARD_TIMEOUT,
         deadline,
     };
     state.accept.forwards.pending.insert(id, forward);
 }
 
-/// Commits what another node took in; never forwards it on, so views that differ make no circle.
-fn take_over(cx: &mut Context<'_>, state: &mut State, from: NodeId, submission: &Submission) {
+/// Commits a submission forwarded by another node. Never forwards it again, so that there are no loops.
+fn accept_forwarded(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    from: NodeId,
+    submission: &Submission,
+) {
     let origin = Origin::Node(from);
-    let Some(checked) = intake(cx, state, origin, submission) else {
+    let Some(checked) = check_submission(cx, state, origin, submission) else {
         return;
     };
     let mut origins = vec![origin];
-    let mut trace = Trace::Clean;
+    let mut prior_write = PriorWrite::None;
     if let Some(forward) = state.accept.forwards.pending.remove(&submission.id) {
         origins.extend(forward.origins);
-        trace = Trace::Elsewhere;
+        prior_write = PriorWrite::Elsewhere;
     }
     let deadline = cx.now + VERDICT_TIMEOUT;
-    commit::enqueue(cx, state, checked, origins, trace, deadline);
+    commit::enqueue(cx, state, checked, origins, prior_write, deadline);
 }
 
-fn learn(cx: &mut Context<'_>, state: &mut State, from: NodeId, id: SubmitId, verdict: &Verdict) {
+fn handle_verdict(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    from: NodeId,
+    id: SubmitId,
+    verdict: &Verdict,
+) {
     let pending = &mut state.accept.forwards.pending;
     let mut origins = Vec::new();
     if pending.get(&id).is_some_and(|it| it.to == from) {
         origins.extend(pending.remove(&id).into_iter().flat_map(|it| it.origins));
     } else if matches!(verdict, Verdict::Accepted { .. }) {
-        origins = state.accept.queue.release(id);
+        origins = state.accept.queue.take_origins(id);
     }
     for origin in origins {
         origin.answer(cx, id, verdict.clone());
--- a/crates/kernel/src/accept/rows.rs
+++ b/crates/kernel/src/accept/rows.rs
@@ -1,4 +1,4 @@
-//! The rows that acceptance keeps in the platform's table.
+//! Rows of the accepted configuration in the platform's table.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,15 +14,15 @@
 /// Key of the row that names the newest snapshot; see [`SnapshotRow`].
 pub const SNAPSHOT_KEY: &str = "snapshot";
 
-/// What the keys of the log's rows begin with.
+/// Prefix of the keys of the log's rows.
 pub const LOG_PREFIX: &str = "log/";
 
-/// Key of the row that holds the batch at `seq`; keys sort by sequence number.
+/// Returns the key of the row that holds the batch at `seq`; keys sort by sequence number.
 pub fn log_key(seq: Seq) -> String {
     format!("{LOG_PREFIX}{:016x}", seq.0)
 }
 
-/// Key of the row that holds the newest revision of `service`.
+/// Returns the key of the row that holds the newest revision of `service`.
 pub fn service_key(service: &Name) -> String {
     format!("service/{service}")
 }
@@ -30,11 +30,11 @@
 /// Value of the row at [`service_key`]: the service as accepted, for readers other than nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRow {
-    /// Its newest revision.
+    /// The newest revision.
     pub revision: Revision,
     /// Who submitted it.
     pub author: String,
-    /// Its document.
+    /// Text of the document.
     pub text: String,
 }
 
@@ -43,24 +43,24 @@
 pub struct SnapshotRow {
     /// Position of the snapshot in the log.
     pub seq: Seq,
-    /// Its object.
+    /// Name of the snapshot's object.
     pub object: String,
-    /// The object of the snapshot before, kept for nodes that are fetching it.
+    /// Name of the previous snapshot's object, which remains for nodes that are fetching it.
     pub older: Option<String>,
 }
 
-/// The row cannot be read.
+/// A row of the table is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadRow {
-    /// It does not decode.
+    /// The value does not decode.
     #[error("row {0} does not decode; upgrade this node, or restore the row")]
     Malformed(String),
-    /// It holds another entry than its key says.
+    /// The row holds another entry than its key says.
     #[error("row {0} holds another entry than its key says; restore the row")]
     Misplaced(String),
 }
 
-/// Reads a row whose key begins with [`LOG_PREFIX`].
+/// Decodes a row whose key begins with [`LOG_PREFIX`].
 pub fn read_entry(row: &Row) -> Result<Entry, BadRow> {
     let entry: Entry = read(row)?;
     match log_key(entry.batch.seq) == row.key {
@@ -69,12 +69,12 @@
     }
 }
 
-/// Reads the row at [`SNAPSHOT_KEY`].
+/// Decodes the row at [`SNAPSHOT_KEY`].
 pub fn read_snapshot(row: &Row) -> Result<SnapshotRow, BadRow> {
     read(row)
 }
 
-/// The value of a row.
+/// Encodes the value of a row.
 pub(super) fn value<T: Serialize>(row: &T) -> Vec<u8> {
     postcard::to_stdvec(row).expect("a row encodes")
 }
--- a/crates/kernel/src/accept/snapshots.rs
+++ b/crates/kernel/src/accept/snapshots.rs
@@ -1,4 +1,4 @@
-//! Writing snapshots of the configuration to the object store.
+//! Writes snapshots of the configuration to the object store.
 
 use crate::{
     accept::rows::{self, SNAPSHOT_KEY, SnapshotRow},
@@ -8,14 +8,14 @@
     platform::{ABSENT, Check, Fault, ObjectAnswer, ObjectOp, Row, TableAnswer, TableOp, Write},
 };
 
-/// A snapshot on its way into the object store.
+/// State of the snapshot that is being written.
 #[derive(Debug, Default)]
 pub(super) struct Snapshots {
     stage: Stage,
-    /// The newest snapshot known.
+    /// Position of the newest known snapshot.
     newest: Seq,
-    /// No attempt before this.
-    retry: Ms,
+    /// Earliest time of the next attempt.
+    next_attempt: Ms,
 }
 
 #[derive(Debug, Default)]
@@ -32,46 +32,57 @@
     row: SnapshotRow,
     /// Version of the row that it replaces.
     version: u64,
-    /// The object that nobody needs any more once the row is replaced.
+    /// Object to delete once the row is replaced.
     unused: Option<String>,
 }
 
-/// Batches from one snapshot to the next.
+/// Number of batches between two snapshots.
 pub const SNAPSHOT_EVERY: u64 = 32;
 
+/// Time until a retry, in ms.
 const RETRY: u64 = 10_000;
 
-/// Begins a snapshot if this node committed far enough past the newest one.
-pub(super) fn begin(cx: &mut Context<'_>, state: &mut State) {
+/// Starts a snapshot if this node committed [`SNAPSHOT_EVERY`] batches after the newest one.
+pub(super) fn start_if_due(cx: &mut Context<'_>, state: &mut State) {
     let committed = state.accept.queue.committed();
     let it = &mut state.accept.snapshots;
-    let due = committed.0 >= it.newest.0 + SNAPSHOT_EVERY && it.retry <= cx.now;
+    let due = committed.0 >= it.newest.0 + SNAPSHOT_EVERY && it.next_attempt <= cx.now;
     if due && matches!(it.stage, Stage::Idle) {
         let keys = vec![SNAPSHOT_KEY.to_owned()];
         it.stage = Stage::Row(cx.table(TableOp::Get { keys }));
     }
 }
 
-/// The table answered; `call` may be anybody's.
-pub(super) fn table(cx: &mut Context<'_>, state: &mut State, call: CallId, answer: &TableAnswer) {
+/// Handles an answer of the table; `call` may belong to another operation.
+pub(super) fn handle_table_answer(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    call: CallId,
+    answer: &TableAnswer,
+) {
     match std::mem::take(&mut state.accept.snapshots.stage) {
-        Stage::Row(own) if own == call => row(cx, state, answer),
-        Stage::Commit(own, plan) if own == call => committed(cx, state, plan, answer),
+        Stage::Row(own) if own == call => handle_row(cx, state, answer),
+        Stage::Commit(own, plan) if own == call => handle_committed(cx, state, plan, answer),
         other => state.accept.snapshots.stage = other,
     }
 }
 
-/// The object store answered; `call` may be anybody's.
-pub(super) fn object(cx: &mut Context<'_>, state: &mut State, call: CallId, answer: &ObjectAnswer) {
+/// Handles an answer of the object store; `call` may belong to another operation.
+pub(super) fn handle_object_answer(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    call: CallId,
+    answer: &ObjectAnswer,
+) {
     match std::mem::take(&mut state.accept.snapshots.stage) {
-        Stage::Object(own, plan) if own == call => stored(cx, state, plan, answer),
+        Stage::Object(own, plan) if own == call => handle_stored(cx, state, plan, answer),
         other => state.accept.snapshots.stage = other,
     }
 }
 
-fn row(cx: &mut Context<'_>, state: &mut State, answer: &TableAnswer) {
+fn handle_row(cx: &mut Context<'_>, state: &mut State, answer: &TableAnswer) {
     let TableAnswer::Rows(found) = answer else {
-        return later(cx, state);
+        return schedule_retry(cx, state);
     };
     let (version, old) = match found.first() {
         Some(row) => (row.version, rows::read_snapshot(row).ok()),
@@ -98,9 +109,9 @@
     it.stage = Stage::Object(cx.object(ObjectOp::Put { name, bytes }), plan);
 }
 
-fn stored(cx: &mut Context<'_>, state: &mut State, plan: Plan, answer: &ObjectAnswer) {
+fn handle_stored(cx: &mut Context<'_>, state: &mut State, plan: Plan, answer: &ObjectAnswer) {
     if *answer != ObjectAnswer::Done {
-        return later(cx, state);
+        return schedule_retry(cx, state);
     }
     let key = SNAPSHOT_KEY.to_owned();
     let check = Check {
@@ -115,39 +126,39 @@
     state.accept.snapshots.stage = Stage::Commit(call, plan);
 }
 
-fn committed(cx: &mut Context<'_>, state: &mut State, plan: Plan, answer: &TableAnswer) {
+fn handle_committed(cx: &mut Context<'_>, state: &mut State, plan: Plan, answer: &TableAnswer) {
     match answer {
         TableAnswer::Committed => {
             state.accept.snapshots.newest = plan.row.seq;
-            remove(cx, plan.unused);
+            delete_object(cx, plan.unused);
         }
         TableAnswer::Conflict(found) => {
-            if !found.iter().any(|it| names(it, &plan.row.object)) {
-                remove(cx, Some(plan.row.object));
+            if !found.iter().any(|it| names_object(it, &plan.row.object)) {
+                delete_object(cx, Some(plan.row.object));
             }
-            later(cx, state);
+            schedule_retry(cx, state);
         }
         TableAnswer::Failed(Fault::Unavailable | Fault::Throttled { .. } | Fault::Invalid(_)) => {
-            remove(cx, Some(plan.row.object));
-            later(cx, state);
+            delete_object(cx, Some(plan.row.object));
+            schedule_retry(cx, state);
         }
-        // The row may name the object: it has to stay. At worst one object a lost answer is left over.
-        TableAnswer::Failed(Fault::Unknown) | TableAnswer::Rows(_) => later(cx, state),
+        // The row may name the object, so it must stay; at worst it is left over.
+        TableAnswer::Failed(Fault::Unknown) | TableAnswer::Rows(_) => schedule_retry(cx, state),
     }
 }
 
-/// Whether the row names `object`, which two committers at one position name alike.
-fn names(row: &Row, object: &str) -> bool {
+/// Returns whether the row names `object`. Two committers at one position use the same name.
+fn names_object(row: &Row, object: &str) -> bool {
     rows::read_snapshot(row)
         .is_ok_and(|it| it.object == object || it.older.as_deref() == Some(object))
 }
 
-fn remove(cx: &mut Context<'_>, object: Option<String>) {
+fn delete_object(cx: &mut Context<'_>, object: Option<String>) {
     if let Some(name) = object {
         cx.object(ObjectOp::Delete { name });
     }
 }
 
-fn later(cx: &mut Context<'_>, state: &mut State) {
-    state.accept.snapshots.retry = cx.now + RETRY;
+fn schedule_retry(cx: &mut Context<'_>, state: &mut State) {
+    state.accept.snapshots.next_attempt = cx.now + RETRY;
 }
--- a/crates/kernel/tests/accept.rs
+++ b/crates/kernel/tests/accept.rs
@@ -1,4 +1,4 @@
-//! Acceptance: what operators are told, whatever the table does meanwhile.
+//! Acceptance of submissions: the verdicts under faults of the table and of other nodes.
 
 #[path = "common/driver.rs"]
 mod driver;
@@ -45,9 +45,7 @@
     tokens.iter().map(|it| kind(&driver.verdict(*it))).collect()
 }
 
-// The operator sees one verdict. The table fails one commit in some way and works again; the committer
-// reads the log before it says anything, and commits again only where the first write can no longer be
-// taken for another. So the change is accepted, and is in the log once.
+// Guards against a change that is lost or applied twice if the table fails a commit and then works again.
 #[test_case(&[Mishap::AnswerLost]; "answer lost after the write")]
 #[test_case(&[Mishap::WriteLost]; "write lost")]
 #[test_case(&[Mishap::WriteLate(3)]; "write arrives after it was reported lost")]
@@ -58,7 +56,7 @@
 #[test_case(&[Mishap::Fails(Fault::Unavailable)]; "unavailable")]
 #[test_case(&[Mishap::Fails(Fault::Throttled { after: 700 })]; "throttled")]
 #[test_case(&[Mishap::Slow(3_000)]; "slow")]
-fn a_passing_fault_ends_in_one_acceptance(mishaps: &[Mishap]) {
+fn transient_fault_ends_in_one_acceptance(mishaps: &[Mishap]) {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     driver.mishaps.extend(mishaps.iter().cloned());
@@ -78,14 +76,13 @@
     assert_eq!(driver.entries().len(), 1);
 }
 
-// The operator is told what is known: the table fails a commit and stays down past the time for a verdict.
-// A write that surely had no effect is unavailable, one that may have had is unknown; once the table is
-// back, asking by the id gives the truth, and submitting again under the id never applies it twice.
+// Guards against a wrong verdict if the table fails a commit and stays down past the deadline: unavailable if
+// nothing was written, unknown if it may have been. A later query and resubmission by id must be correct too.
 #[test_case(Mishap::Fails(Fault::Unavailable), "unavailable", "absent"; "surely not written")]
 #[test_case(Mishap::AnswerLost, "unknown", "accepted"; "written")]
 #[test_case(Mishap::WriteLost, "unknown", "absent"; "not written")]
 #[test_case(Mishap::Slow(9_000), "unknown", "accepted"; "no answer in time")]
-fn a_lasting_outage_is_told_as_far_as_known(mishap: Mishap, first: &str, later: &str) {
+fn outage_verdict_matches_write_outcome(mishap: Mishap, first: &str, later: &str) {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     driver.mishaps.push_back(mishap);
@@ -111,12 +108,11 @@
     assert_eq!(driver.applied(ID), 1);
 }
 
-// The table is down before anything is sent to it. Whichever node an operator asks, the committer or one
-// that forwards to it, the refusal comes within two seconds and says that nothing was changed: held back
-// until its deadline it would reach a node that has taken the work back and can only say «unknown».
+// Guards against an unknown verdict if the table is down before anything is sent to it: the committer must refuse
+// before the forwarding node gives up on it.
 #[test_case(0; "at one node")]
 #[test_case(1; "at the other")]
-fn an_outage_is_told_at_once(entry: usize) {
+fn outage_is_reported_within_two_seconds(entry: usize) {
     let mut driver = Driver::new(&["cairo", "cairo"]);
     driver.run(100);
     driver.down = true;
@@ -132,8 +128,8 @@
     );
 }
 
-// Every operator gets the verdict that the own submission deserves: right and wrong ones arrive within one
-// window, in either order, on top of a log where a routes to b.
+// Guards against a submission whose verdict depends on others in the same window, or on the order of arrival.
+// Service a routes to b before.
 #[test_case(&[put(1, "c", 0, &["d"]), put(2, "d", 0, &["c"])], &["accepted", "accepted"]; "two new ones that need each other")]
 #[test_case(&[put(1, "c", 0, &["x"]), put(2, "d", 0, &[])], &["refused", "accepted"]; "route to nothing")]
 #[test_case(&[put(1, "c", 0, &["d"]), put(2, "d", 0, &["x"])], &["refused", "refused"]; "route to a refused one")]
@@ -166,11 +162,10 @@
     }
 }
 
-// A freeze lifts: three operators change one service at once, two of them through one committer and one
-// through another that has not heard of the first batch. One wins; the others read who did, and what it
-// changed. A fourth operator's change of another service is in the same transaction as the winner's.
+// Guards against lost conflicts if three operators change one service through two committers: one is accepted, the
+// others get its author and diff. A change of another service shares the first transaction.
 #[test]
-fn racing_operators_after_a_freeze() {
+fn concurrent_changes_of_one_service_conflict() {
     let mut driver = Driver::new(&["cairo", "oregon"]);
     driver.run(5_000);
     let first = driver.submit(0, &put(1, "desk", 0, &[]));
@@ -185,16 +180,16 @@
     ];
     driver.run(8_000);
     let mut session = driver.session.clone();
-    let told = tokens.iter().zip(2..);
-    let told = told.map(|(it, id)| format!("operator-{id} is told {}", show(&driver.verdict(*it))));
-    session.extend(told);
+    let verdicts = tokens.iter().zip(2..);
+    let verdicts =
+        verdicts.map(|(it, id)| format!("operator-{id} is told {}", show(&driver.verdict(*it))));
+    session.extend(verdicts);
     insta::assert_snapshot!("racing_operators", session.join("\n"));
 }
 
-// The operator sees one acceptance. The commit takes effect and its answer is lost; the committer reads the
-// log, finds the submission's id there and says accepted, without a second write.
+// Guards against a second write if a commit takes effect and its answer is lost.
 #[test]
-fn an_answer_lost_after_the_write() {
+fn lost_answer_ends_in_one_acceptance() {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     driver.session.clear();
@@ -202,15 +197,14 @@
     let token = driver.submit(0, &put(1, "desk", 0, &[]));
     driver.run(8_000);
     let mut session = driver.session.clone();
-    let told = show(&driver.verdict(token));
-    session.push(format!("operator-1 is told {told}"));
+    let verdict = show(&driver.verdict(token));
+    session.push(format!("operator-1 is told {verdict}"));
     insta::assert_snapshot!("answer_lost", session.join("\n"));
 }
 
-// Two regions' committers write at once, each conflicting with the other's batches. Nobody's change is lost
-// or doubled, and of two for one service one wins.
+// Guards against lost or duplicated changes if the committers of two regions write at once.
 #[test]
-fn two_committers_at_once() {
+fn two_committers_lose_no_change() {
     let mut driver = Driver::new(&["cairo", "oregon"]);
     driver.run(5_000);
     let mut tokens = Vec::new();
@@ -235,7 +229,7 @@
     }
 }
 
-/// Of two nodes of Cairo.
+/// Returns the indexes of the committer and of the other of two nodes in Cairo.
 fn committer_and_other(driver: &Driver) -> (usize, usize) {
     let kernel = &driver.kernels[0];
     let committer = accept::committer(kernel.state(), &name("cairo"));
@@ -245,18 +239,20 @@
     }
 }
 
-// The operator asks a node that is not the committer. The committer hears nothing (and never commits), or
-// commits and its verdict is lost on the way back; the node then takes the work back, and the log decides.
+// Guards against a submission that stays without a verdict, or is applied twice, if the forward to the committer or
+// its verdict is lost.
 #[test_case(true; "the committer hears nothing")]
 #[test_case(false; "the verdict is lost")]
-fn a_silent_committer_is_replaced(unheard: bool) {
+fn unreachable_committer_is_replaced(forward_lost: bool) {
     let mut driver = Driver::new(&["cairo", "cairo"]);
     driver.run(5_000);
     let (committer, entry) = committer_and_other(&driver);
-    driver.deaf.insert(if unheard { committer } else { entry });
+    driver
+        .deaf
+        .insert(if forward_lost { committer } else { entry });
     let token = driver.submit(entry, &put(1, "desk", 0, &[]));
     driver.run(1_500);
-    assert_eq!(driver.entries().len(), usize::from(!unheard));
+    assert_eq!(driver.entries().len(), usize::from(!forward_lost));
     driver.run(6_000);
     assert_eq!(kind(&driver.verdict(token)), "accepted");
     driver.deaf.clear();
@@ -267,10 +263,10 @@
     assert_eq!(driver.applied(ID), 1);
 }
 
-// The operator may not be told "unavailable" once another node may have committed: the committer commits, its
-// verdict is lost, and the table goes down before the node that took the submission can read the log.
+// Guards against the verdict unavailable for a committed submission: the committer's verdict is lost, and the table
+// fails before the forwarding node can read the log.
 #[test]
-fn work_taken_back_from_a_committer_is_unknown_while_the_table_is_down() {
+fn timed_out_forward_is_unknown_without_table() {
     let mut driver = Driver::new(&["cairo", "cairo"]);
     driver.run(5_000);
     let (committer, entry) = committer_and_other(&driver);
@@ -285,10 +281,9 @@
     assert_eq!(log.seq(), Seq(1));
 }
 
-// The first write is reported lost and arrives long after the operator has a verdict; the log read in between
-// does not hold it yet. Whatever the later attempts end in, the operator may not read "unavailable".
+// Guards against the verdict unavailable if a write that was reported lost takes effect long after the verdict.
 #[test]
-fn a_write_that_may_still_arrive_is_unknown() {
+fn late_write_makes_verdict_unknown() {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     driver.mishaps.push_back(Mishap::WriteLate(9_000));
@@ -303,10 +298,10 @@
     assert!(matches!(reply, Reply::Verdict(Verdict::Accepted { .. })));
 }
 
-// Two submissions share a write that is reported lost and arrives late. The one that the other routes to is
-// given up first; the other now routes to nothing as far as the log says, but may not be told "refused".
+// Guards against a refusal of a submission whose lost write may still take effect, after the submission that it
+// routes to was given up.
 #[test]
-fn a_refusal_is_unknown_while_the_write_may_still_arrive() {
+fn late_write_makes_refusal_unknown() {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     let throttled = Mishap::Fails(Fault::Throttled { after: 10 });
@@ -326,12 +321,11 @@
     assert_eq!(driver.applied(ID), 1);
 }
 
-// A committer has not heard of the newest batches. A submission that is right on top of them would be refused
-// by the log it holds; it reads the table's first, and the operator reads "accepted".
+// Guards against a refusal that is based on an outdated log: a lagging committer must read the table's log first.
 #[test_case(put(1, "desk", 0, &["registry"]); "routes to a service it has not heard of")]
 #[test_case(put(1, "registry", 1, &[]); "base that it has not heard of")]
 #[test_case(delete(1, "registry", 1); "deletion of a service it has not heard of")]
-fn a_lagging_committer_reads_before_it_refuses(submission: Submission) {
+fn lagging_committer_reads_before_refusal(submission: Submission) {
     let mut driver = Driver::new(&["cairo", "oregon"]);
     driver.run(5_000);
     driver.deaf = [0, 1].into();
@@ -343,10 +337,10 @@
     assert_eq!(kind(&driver.verdict(token)), "accepted");
 }
 
-// The operator sends a submission again through a node that has just started. Its commits fail while it
-// recovers; the recovered log holds the submission, so it is accepted and not a conflict with itself.
+// Guards against a conflict of a submission with itself if it is sent again through a node that still recovers the
+// log.
 #[test]
-fn a_submission_found_by_recovery_is_accepted() {
+fn recovered_submission_is_accepted() {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     assert_eq!(
@@ -364,11 +358,10 @@
     assert_eq!(driver.applied(ID), 1);
 }
 
-// A quarter's changes arrive in one window: more than one transaction takes, and pairs of new services that
-// route to each other lie far apart. Every operator reads "accepted", after few transactions.
+// Guards against refused submissions if a transaction's bounds fall between new services that route to each other.
 #[test_case(240, ""; "bounded by rows")]
 #[test_case(60, "#"; "bounded by bytes")]
-fn pairs_are_not_torn_apart(pairs: u128, filler: &str) {
+fn dependent_services_share_a_transaction(pairs: u128, filler: &str) {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     let mut submissions: Vec<Submission> = Vec::new();
@@ -392,9 +385,9 @@
     }
 }
 
-// An auditor reads who changed what, when, why and how, page by page, of all services or of one.
+// Guards against missing or wrong entries in an audit that is read page by page, for all services or one.
 #[test]
-fn the_audit_is_read_back_whole() {
+fn audit_returns_every_change() {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     for id in 1..=40 {
@@ -449,10 +442,9 @@
     assert!(matches!(driver.ask(0, call), Reply::Unavailable { .. }));
 }
 
-// Operators submit faster than the table takes it. The queue is bounded: what does not fit is refused at
-// once, in words that say so, and what was taken in is accepted.
+// Guards against an unbounded queue, and against the loss of queued submissions when it is full.
 #[test]
-fn a_full_queue_refuses_clearly() {
+fn full_queue_refuses_submissions() {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     let count = laburnum_kernel::accept::QUEUE_MAX as u128 + 10;
@@ -468,11 +460,10 @@
     assert_eq!(verdicts[count as usize - 10..], ["unavailable"; 10]);
 }
 
-// The operator routes to a service that isn't there and is told `refused`. That service is created, and then
-// a copy of the forwarded submission arrives, as when a connection was replaced. The refusal stands: the
-// copy is recognised. The operator who submits again under the same id is heard.
+// Guards against a refused submission that is accepted later because a duplicate of its forward arrives. A new
+// attempt under the same id must be accepted.
 #[test]
-fn late_copy_of_a_refused_submission_changes_nothing() {
+fn duplicate_of_refused_submission_is_ignored() {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     let submission = put(1, "c", 0, &["d"]);
@@ -500,8 +491,7 @@
     assert_eq!(driver.applied(SubmitId(1)), 1);
 }
 
-// An operator changes a service and another one reads it 300 ms later and changes it again. Both are accepted,
-// also where changes spread in a long window that saves bytes: submissions have a window of their own.
+// Guards against conflicts between changes 300 ms apart where the window of spreading is long.
 #[test_case(SpreadSettings::nile(); "nile")]
 #[test_case(SpreadSettings::cascadia(); "cascadia")]
 fn changes_300_ms_apart_do_not_conflict(spread: SpreadSettings) {
