--- a/crates/kernel/src/members.rs
+++ b/crates/kernel/src/members.rs
@@ -1,7 +1,7 @@
-//! Members: who is there, in which phase, and whether they can be reached.
+//! Membership: the nodes of the fleet, the phase of each and whether it can be reached.
 //!
-//! Each node owns its [`Record`]; the others learn it from datagrams (`probe`, `queue`), at a join
-//! (`join`) or by comparing digests (`sync`). Losses are judged in `suspect` and `zone_loss`.
+//! Each node owns its [`Record`]. Other nodes receive it by gossip (`probe`, `queue`), at a join
+//! (`join`) or by anti-entropy (`sync`). `suspect` and `zone_loss` detect failures.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,19 +29,19 @@
     digest::Digest,
     join::Join,
     probe::Prober,
-    queue::{Pace, Queue},
-    suspect::{Losses, Tombs, Trust},
+    queue::{Delivery, Queue},
+    suspect::{Freshness, Losses, Tombstones},
     sync::Sync,
     zone_loss::Zones,
 };
 pub use self::{
     contact::{CONTACT_PREFIX, CONTACT_SLOTS, Contact, contact_key},
     probe::{ACK_MS, PACKET_MAX, PROBE_MS},
-    queue::{NEWS_BURST, NEWS_RATE},
+    queue::{GOSSIP_BURST, GOSSIP_RATE},
     record::{
         BadPhase, Head, Message, Offer, Packet, Phase, Reach, Record, Stamp, Update, ZoneState,
     },
-    suspect::{KEEP_MS, LOSS_MS, TOMB_MS, suspicion},
+    suspect::{LOSS_WINDOW_MS, TOMBSTONE_TTL_MS, UNREACHABLE_TTL_MS, suspicion_timeout_ms},
     sync::{CHUNK_MAX, SYNC_MS},
     upstream::{LEASE_MS, leave},
 };
@@ -52,58 +52,58 @@
 struct Member {
     record: Record,
     reach: Reach,
-    /// When `reach` changed last.
-    since: Ms,
+    reach_since: Ms,
 }
 
-/// Whether a change came to the view.
+/// Whether an update changed the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Learned {
-    /// The view changed.
-    New,
-    /// It was known already, or is older than what is known.
-    Known,
+enum Applied {
+    Changed,
+    /// The update was known already, or older than what is known.
+    Unchanged,
 }
 
-/// Whether news is passed on by probes.
+/// Whether an update that changed the view is passed on to other members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Relay {
-    /// Others may lack it too.
-    Pass,
+enum Propagation {
+    /// Other members may lack it too.
+    Gossip,
     /// Only this node lacked it.
-    Keep,
+    Local,
 }
 
-/// Who is there.
+/// The view of the fleet that this node holds.
 #[derive(Debug)]
 pub struct Members {
     own: Record,
     others: BTreeMap<NodeId, Member>,
-    /// The keys of `others`, for random choices.
+    /// The keys of `others`, for choosing members at random.
     ids: Vec<NodeId>,
     unreachable: BTreeSet<NodeId>,
     /// One shared copy of each name.
     names: BTreeSet<Name>,
-    tombs: Tombs,
+    tombstones: Tombstones,
     zones: Zones,
     losses: Losses,
-    trust: Trust,
+    freshness: Freshness,
     digest: Digest,
     queue: Queue,
     prober: Prober,
     join: Join,
     sync: Sync,
     contacts: Contacts,
+    /// Last heartbeat of the upstream.
     heartbeat: Ms,
     /// The whole node leaves, not only its upstream.
-    leaving: bool,
-    /// Somebody told this process whom it knows.
+    is_leaving: bool,
+    /// Another node has sent its view to this process.
     joined: bool,
+    /// The view changed since the last tick.
     changed: bool,
 }
 
 impl Members {
-    /// Knows only this node.
+    /// Creates a view that holds only this node.
     pub fn new(settings: &Settings) -> Members {
         let own = Record {
             id: settings.node,
@@ -124,33 +124,33 @@
             ids: Vec::new(),
             unreachable: BTreeSet::new(),
             names: BTreeSet::new(),
-            tombs: Tombs::default(),
+            tombstones: Tombstones::default(),
             zones: Zones::default(),
             losses: Losses::default(),
-            trust: Trust::default(),
+            freshness: Freshness::default(),
             queue: Queue::default(),
             prober: Prober::default(),
             join: Join::default(),
             sync: Sync::default(),
             contacts: Contacts::default(),
             heartbeat: Ms(0),
-            leaving: false,
+            is_leaving: false,
             joined: false,
             changed: false,
         }
     }
 
-    /// This node's record.
+    /// Returns this node's record.
     pub fn own(&self) -> &Record {
         &self.own
     }
 
-    /// Every member that has not left, this node first, reachable or not.
+    /// Returns every member that has not left, this node first, reachable or not.
     pub fn alive(&self) -> impl Iterator<Item = &Record> {
         self.alive_with_reach().map(|(it, _)| it)
     }
 
-    /// Every member that has not left, this node first, with its reachability.
+    /// Returns every member that has not left, this node first, with its reachability.
     pub fn alive_with_reach(&self) -> impl Iterator<Item = (&Record, Reach)> {
         let others = self.others.values().map(|it| (&it.record, it.reach));
         std::iter::once((&self.own, Reach::Reachable))
@@ -158,19 +158,19 @@
             .filter(|(it, _)| it.phase != Phase::Gone)
     }
 
-    /// Members that may do work for others: relay, commit, own buckets.
+    /// Returns the members that may serve others: as relay, committer or holder of buckets.
     pub fn ready(&self) -> impl Iterator<Item = &Record> {
         self.alive_with_reach()
             .filter(|(it, reach)| it.phase != Phase::Draining && *reach != Reach::Unreachable)
             .map(|(it, _)| it)
     }
 
-    /// Those of one availability zone.
+    /// Returns the members of `zone` that may serve others.
     pub fn ready_in(&self, zone: &Name) -> impl Iterator<Item = &Record> {
         self.ready().filter(move |it| it.zone == *zone)
     }
 
-    /// Whether `id` can be reached; `None` if it is no member.
+    /// Returns whether `id` can be reached, or `None` if it is not a member.
     pub fn reach(&self, id: NodeId) -> Option<Reach> {
         if id == self.own.id {
             return Some(Reach::Reachable);
@@ -178,117 +178,125 @@
         self.others.get(&id).map(|it| it.reach)
     }
 
-    /// Whether somebody has told this process whom it knows since the start.
+    /// Returns whether another node has sent its view to this process since the start.
     pub fn joined(&self) -> bool {
         self.joined
     }
 
-    /// Whether the view is fresh enough to relay or commit by it. False after a pause of the process,
-    /// until others have answered again.
-    pub fn trusted(&self) -> bool {
-        self.others.is_empty() || self.trust == Trust::Fresh
+    /// Returns whether the view is fresh enough to act on as a relay or committer: false after a
+    /// pause of the process until other members have answered again.
+    pub fn is_fresh(&self) -> bool {
+        self.others.is_empty() || self.freshness == Freshness::Fresh
     }
 
-    /// Whether so much was lost at once that this node itself may be cut off. Nobody is removed
-    /// meanwhile.
-    pub fn cut_off(&self) -> bool {
-        self.losses.cut_off()
+    /// Returns whether so many members were lost at once that this node itself may be partitioned
+    /// from the fleet. No member is removed while that holds.
+    pub fn is_partitioned(&self) -> bool {
+        self.losses.is_partitioned()
     }
 
-    /// What is known of `zone` as a whole.
+    /// Returns the state of `zone` as a whole.
     pub fn zone(&self, zone: &Name) -> ZoneState {
         self.zones.state(zone)
     }
 
-    /// A digest of the whole view; equal views have equal digests.
+    /// Returns the digest of the whole view; equal views have equal digests.
     pub fn root(&self) -> u64 {
         self.digest.root()
     }
 
-    /// Learns one piece of news.
-    fn learn(&mut self, now: Ms, update: &Update, relay: Relay) -> Learned {
+    /// Applies one update to the view.
+    fn apply_update(&mut self, now: Ms, update: &Update, propagation: Propagation) -> Applied {
         match update {
-            Update::Record(it) => self.learn_record(now, it, relay),
-            Update::Leaving { head, phase } => self.learn_leaving(now, *head, *phase, relay),
-            Update::Suspect(it) => self.learn_suspect(now, *it),
-            Update::Dead(it) => self.learn_dead(now, *it),
-            Update::Zone(it) => self.learn_zone(now, it),
+            Update::Record(it) => self.apply_record(now, it, propagation),
+            Update::Leaving { head, phase } => self.apply_leaving(now, *head, *phase, propagation),
+            Update::Suspect(it) => self.apply_suspect(now, *it),
+            Update::Dead(it) => self.apply_dead(now, *it),
+            Update::Zone(it) => self.apply_zone(now, it),
         }
     }
 
-    fn learn_record(&mut self, now: Ms, record: &Record, relay: Relay) -> Learned {
+    fn apply_record(&mut self, now: Ms, record: &Record, propagation: Propagation) -> Applied {
         if record.id == self.own.id {
-            self.heard_of_self(now, record.stamp());
-            return Learned::Known;
+            self.check_own_stamp(now, record.stamp());
+            return Applied::Unchanged;
         }
-        if self.tombs.covers(record.head()) || self.stamp(record.id) >= Some(record.stamp()) {
-            return Learned::Known;
+        if self.tombstones.covers(record.head()) || self.stamp(record.id) >= Some(record.stamp()) {
+            return Applied::Unchanged;
         }
-        let urgent = self.leaves(record) || self.refutes(record);
+        let urgent = self.withdraws_work(record) || self.refutes_suspicion(record);
         if record.phase == Phase::Gone {
-            self.bury(now, record.head());
+            self.remove_with_tombstone(now, record.head());
         } else {
             self.insert(now, record);
         }
-        if relay == Relay::Pass {
-            let pace = match urgent {
-                true => Pace::Urgent,
-                false => Pace::Piggyback,
+        if propagation == Propagation::Gossip {
+            let delivery = match urgent {
+                true => Delivery::Urgent,
+                false => Delivery::Piggyback,
             };
-            self.queue.push(now, update_of(record), pace);
+            self.queue.push(now, update_of(record), delivery);
         }
-        Learned::New
+        Applied::Changed
     }
 
-    /// Whether `record` takes from a known member the work that it could take until now.
-    fn leaves(&self, record: &Record) -> bool {
+    /// Returns whether `record` announces that a known member takes no more new work.
+    fn withdraws_work(&self, record: &Record) -> bool {
         self.others.get(&record.id).is_some_and(|it| {
             let withdrawn = it.record.offer.is_some() && record.offer.is_none();
             withdrawn || (record.phase >= Phase::Draining && it.record.phase < record.phase)
         })
     }
 
-    /// Whether `record` speaks against a suspicion, whose time is running.
-    fn refutes(&self, record: &Record) -> bool {
+    /// Returns whether `record` refutes a suspicion of its node.
+    fn refutes_suspicion(&self, record: &Record) -> bool {
         let reach = self.others.get(&record.id).map(|it| it.reach);
         reach == Some(Reach::Suspect)
     }
 
-    fn learn_leaving(&mut self, now: Ms, head: Head, phase: Phase, relay: Relay) -> Learned {
+    fn apply_leaving(
+        &mut self,
+        now: Ms,
+        head: Head,
+        phase: Phase,
+        propagation: Propagation,
+    ) -> Applied {
         if head.id == self.own.id {
-            self.heard_of_self(now, head.stamp);
-            return Learned::Known;
+            self.check_own_stamp(now, head.stamp);
+            return Applied::Unchanged;
         }
-        if self.tombs.covers(head) || self.stamp(head.id) >= Some(head.stamp) {
-            return Learned::Known;
+        if self.tombstones.covers(head) || self.stamp(head.id) >= Some(head.stamp) {
+            return Applied::Unchanged;
         }
         match self.others.get(&head.id) {
-            // A drain of a node never heard of is no news; its record comes by anti-entropy.
-            None if phase != Phase::Gone => return Learned::Known,
+            // The drain of an unknown node needs no update; its record comes by anti-entropy.
+            None if phase != Phase::Gone => return Applied::Unchanged,
             Some(member) if phase != Phase::Gone => {
                 let mut record = member.record.clone();
                 (record.incarnation, record.version) = (head.stamp.incarnation, head.stamp.version);
                 record.phase = phase;
                 self.insert(now, &record);
             }
-            _ => self.bury(now, head),
+            _ => self.remove_with_tombstone(now, head),
         }
-        if relay == Relay::Pass {
+        if propagation == Propagation::Gossip {
             self.queue
-                .push(now, Update::Leaving { head, phase }, Pace::Urgent);
+                .push(now, Update::Leaving { head, phase }, Delivery::Urgent);
         }
-        Learned::New
+        Applied::Changed
     }
 
-    /// Somebody holds a record of this node. One that this incarnation never wrote is from a life
-    /// before it with a clock ahead of ours: without a higher stamp, ours would lose to it everywhere.
-    fn heard_of_self(&mut self, now: Ms, stamp: Stamp) {
+    /// Compares the stamp that another node holds for this node with the own one.
+    ///
+    /// A higher stamp comes from an earlier process on this address whose clock was ahead. It would
+    /// win over the own record on every node, so the own stamp is raised above it.
+    fn check_own_stamp(&mut self, now: Ms, stamp: Stamp) {
         if stamp > self.own.stamp() {
             self.refute(now, stamp);
         }
     }
 
-    /// Outdoes `stamp`, which somebody says is this node's last.
+    /// Raises the own stamp above `stamp` and sends the own record.
     fn refute(&mut self, now: Ms, stamp: Stamp) {
         if self.own.phase == Phase::Gone {
             return;
@@ -302,11 +310,11 @@
         self.digest.toggle(self.own.head());
         self.changed = true;
         self.queue
-            .push(now, Update::Record(self.own.clone()), Pace::Origin);
+            .push(now, Update::Record(self.own.clone()), Delivery::Origin);
     }
 
-    /// Changes the own record and tells it.
-    fn change_own(&mut self, now: Ms, change: impl FnOnce(&mut Record), pace: Pace) {
+    /// Changes the own record and sends it.
+    fn change_own(&mut self, now: Ms, change: impl FnOnce(&mut Record), delivery: Delivery) {
         if self.own.phase == Phase::Gone {
             return;
         }
@@ -317,10 +325,10 @@
             self.digest.toggle(self.own.head());
         }
         self.changed = true;
-        self.queue.push(now, update_of(&self.own), pace);
+        self.queue.push(now, update_of(&self.own), delivery);
     }
 
-    /// Takes in a newer record: its owner wrote it, so a member known before is there.
+    /// Inserts a newer record. Its owner wrote it, so a member known before is reachable.
     fn insert(&mut self, now: Ms, record: &Record) {
         let mut record = record.clone();
         record.region = self.intern(record.region);
@@ -329,15 +337,16 @@
             offer.service = self.intern(offer.service.clone());
         }
         let known = self.remove(record.id);
-        // A stranger's record may be as old as the loss of its zone; a known member's newer one is not.
+        // The record of an unknown member may be older than the loss of its zone; a newer record of
+        // a known member is not.
         let reach = match known.is_none() && self.zones.state(&record.zone).lost() {
             true => Reach::Unreachable,
             false => Reach::Reachable,
         };
         let id = record.id;
-        self.tombs.remove(id);
+        self.tombstones.remove(id);
         self.digest.toggle(record.head());
-        self.zones.joined(&record.zone);
+        self.zones.add_member(&record.zone);
         if known.is_none() {
             self.ids.push(id);
         }
@@ -347,26 +356,26 @@
         let member = Member {
             record,
             reach,
-            since: now,
+            reach_since: now,
         };
         self.others.insert(id, member);
         self.changed = true;
     }
 
-    /// Removes a member and keeps a tombstone, so that late news cannot bring it back.
-    fn bury(&mut self, now: Ms, head: Head) {
+    /// Removes a member and keeps a tombstone, so that a late update cannot add it again.
+    fn remove_with_tombstone(&mut self, now: Ms, head: Head) {
         if self.remove(head.id).is_some() {
             self.ids.retain(|it| *it != head.id);
         }
-        self.tombs.insert(now, head);
+        self.tombstones.insert(now, head);
         self.changed = true;
     }
 
     fn remove(&mut self, id: NodeId) -> Option<Member> {
         let member = self.others.remove(&id)?;
         self.digest.toggle(member.record.head());
-        self.zones.left(&member.record.zone);
-        self.losses.forget(id);
+        self.zones.remove_member(&member.record.zone);
+        self.losses.retract(id);
         self.unreachable.remove(&id);
         Some(member)
     }
@@ -379,12 +388,12 @@
             return;
         }
         member.reach = reach;
-        member.since = now;
+        member.reach_since = now;
         if reach != Reach::Suspect {
-            self.losses.settle(id);
+            self.losses.end_suspicion(id);
         }
         if reach == Reach::Reachable {
-            self.losses.forget(id);
+            self.losses.retract(id);
         }
         match reach {
             Reach::Unreachable => self.unreachable.insert(id),
@@ -407,19 +416,20 @@
         }
     }
 
-    /// How often each piece of news is sent: about three times the binary logarithm of the fleet.
-    fn times(&self) -> u32 {
+    /// Returns how many times each update is sent: about three times the binary logarithm of the
+    /// fleet's size.
+    fn transmit_limit(&self) -> u32 {
         3 * log2(self.others.len() + 1)
     }
 }
 
-/// The binary logarithm of `count`, rounded up, at least one.
+/// Returns the binary logarithm of `count`, rounded up, at least one.
 fn log2(count: usize) -> u32 {
     (usize::BITS - count.leading_zeros()).max(1)
 }
 
-/// The shortest news that tells `record` to those who know its node. A member that drains is of no use
-/// to those who do not.
+/// Returns the shortest update that conveys `record` to nodes that know its member. Nodes that don't
+/// know a draining member don't need it.
 fn update_of(record: &Record) -> Update {
     match record.phase {
         Phase::Warming | Phase::Ready => Update::Record(record.clone()),
@@ -435,15 +445,15 @@
     match event {
         Event::Start => join::start(cx, members),
         Event::Tick => tick(cx, members),
-        Event::Probe { from, packet } => probe::received(cx, members, *from, packet),
+        Event::Probe { from, packet } => probe::handle_packet(cx, members, *from, packet),
         Event::Message {
             from,
             message: event::Message::Members(message),
-        } => sync::received(cx, members, *from, message),
-        Event::Table { call, answer } => contact::answered(cx, members, *call, answer),
-        Event::Upstream(it) => upstream::changed(cx, members, it),
-        Event::Notice(Notice::Paused { lost }) => suspect::paused(cx, members, *lost),
-        Event::Notice(Notice::Restored) => contact::restored(cx, members),
+        } => sync::handle_message(cx, members, *from, message),
+        Event::Table { call, answer } => contact::handle_table_answer(cx, members, *call, answer),
+        Event::Upstream(it) => upstream::handle_event(cx, members, it),
+        Event::Notice(Notice::Paused { lost }) => suspect::handle_pause(cx, members, *lost),
+        Event::Notice(Notice::Restored) => contact::handle_restored_table(cx, members),
         _ => {}
     }
 }
@@ -457,9 +467,9 @@
         sync::tick(cx, members);
         contact::tick(cx, members);
     }
-    probe::push(cx, members);
-    members.zones.log(cx);
-    // Many small changes within one tick are told as one.
+    probe::push_updates(cx, members);
+    members.zones.log_changes(cx);
+    // All changes within one tick raise one notice.
     if std::mem::take(&mut members.changed) {
         cx.raise(Notice::Members);
     }
--- a/crates/kernel/src/members/contact.rs
+++ b/crates/kernel/src/members/contact.rs
@@ -1,4 +1,5 @@
-//! First contacts in the platform's table: a few rows a zone, kept by a few of its members.
+//! Contact rows in the platform's table, by which starting nodes find the fleet: a few rows per zone,
+//! each written by a member of the zone.
 
 use rand::Rng;
 use serde::{Deserialize, Serialize};
@@ -12,65 +13,67 @@
     utils::rendezvous,
 };
 
-/// Prefix of the keys of contact rows.
+/// Key prefix of contact rows.
 pub const CONTACT_PREFIX: &str = "contact/";
 
-/// Rows that each zone keeps.
+/// Number of contact rows per zone.
 pub const CONTACT_SLOTS: usize = 3;
 
-/// Ms between two looks at who keeps the rows.
+/// Interval in ms at which a node checks whether it has to write a row.
 const CHECK_MS: u64 = 10_000;
 
-/// The same from the first answer of the table on: joins are over by then, and two halves of a fleet that started together,
-/// where one overwrote the rows of the other, find each other before they serve.
+/// Time in ms from the first scan to the first check. Joins are over by then. A fleet that split in
+/// two at its start, where one half overwrote the rows of the other, merges before it serves.
 const FIRST_CHECK_MS: u64 = 2_000;
 
-/// Longest time until a node that found nobody keeps a row, in ms; joins are tried again after about half of that.
-const LONE_MS: u64 = 600;
+/// Longest delay in ms before a node that found no contact writes a row.
+const FIRST_WRITE_MAX_MS: u64 = 600;
 
-/// Nodes of a zone that ask contacts abroad, on average, although they found one in their own zone.
-const SCOUTS: u32 = 4;
+/// Average number of nodes per zone that send a join to contacts in other zones although they found
+/// one in their own zone.
+const REMOTE_JOINS: u32 = 4;
 
-/// Ms after which a row is written again though nothing changed.
+/// Interval in ms at which an unchanged row is written again.
 const REFRESH_MS: u64 = 60_000;
 
-/// Most rows read at a time.
+/// Most rows read by one scan.
 const SCAN_MAX: u32 = 200;
 
-/// The value of a contact row.
+/// Value of a contact row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contact {
     /// A member of the zone.
     pub id: NodeId,
-    /// Its stamp as of the write.
+    /// Its stamp at the time of the write.
     pub stamp: Stamp,
 }
 
-/// The key of one contact row.
+/// Returns the key of a contact row.
 pub fn contact_key(zone: &Name, slot: usize) -> String {
     format!("{CONTACT_PREFIX}{zone}/{slot}")
 }
 
-/// Contact rows read and kept.
+/// State of reading and writing contact rows.
 #[derive(Debug, Default)]
 pub(super) struct Contacts {
     scan: Option<CallId>,
     checked: Ms,
-    written: Option<Written>,
-    /// Contacts of other zones, kept until somebody has told this process whom it knows.
-    abroad: Vec<NodeId>,
+    written: Option<WrittenRow>,
+    /// Contacts in other zones, kept until another node has sent its view to this process.
+    remote: Vec<NodeId>,
 }
 
-/// The row that this node keeps.
+/// The row that this node wrote last.
 #[derive(Clone, Copy, Debug)]
-struct Written {
+struct WrittenRow {
     slot: usize,
     time: Ms,
-    /// Whether this node knew nobody then: others that started at the same time may have overwritten the row unread.
+    /// Whether this node knew no other member then. Nodes that started at the same time may have
+    /// overwritten such a row before any node read it.
     alone: bool,
 }
 
-/// Reads the rows of every zone; what is found is asked to let this node join.
+/// Reads the contact rows of every zone. Joins are sent when the rows arrive.
 pub(super) fn scan(cx: &mut Context<'_>, members: &mut Members) {
     let op = TableOp::Scan {
         prefix: CONTACT_PREFIX.to_owned(),
@@ -80,8 +83,8 @@
     members.contacts.scan = Some(cx.table(op));
 }
 
-/// Takes the answer to a scan; any other is somebody else's.
-pub(super) fn answered(
+/// Sends joins to the contacts that a scan found. Ignores answers to calls of other modules.
+pub(super) fn handle_table_answer(
     cx: &mut Context<'_>,
     members: &mut Members,
     call: CallId,
@@ -96,65 +99,70 @@
     };
     let prefix = contact_key(&members.own.zone, 0);
     let prefix = prefix.trim_end_matches('0');
-    // Members that are known already have nothing to tell that the comparisons do not.
+    // Known members are skipped: anti-entropy compares with them anyway.
     let alone = members.others.len() == members.unreachable.len();
-    let found = |near: bool| -> Vec<NodeId> {
+    let found = |local: bool| -> Vec<NodeId> {
         rows.iter()
-            .filter(|it| it.key.starts_with(prefix) == near)
+            .filter(|it| it.key.starts_with(prefix) == local)
             .filter_map(|it| postcard::from_bytes::<Contact>(&it.value).ok())
             .map(|it| it.id)
             .filter(|it| *it != members.own.id)
             .filter(|it| alone || !members.others.contains_key(it))
             .collect()
     };
-    // Those nearby mostly know the others, and each answer is the whole view, whose bytes cost most between zones.
-    let (near, abroad) = (found(true), found(false));
-    join::ask(cx, members, &near);
-    match near.is_empty() {
-        true => join::ask(cx, members, &abroad),
-        false => members.contacts.abroad = abroad,
+    // Contacts in the own zone mostly know the other zones. Each answer is a whole view, which costs
+    // most between zones.
+    let (local, remote) = (found(true), found(false));
+    join::send_joins(cx, members, &local);
+    match local.is_empty() {
+        true => join::send_joins(cx, members, &remote),
+        false => members.contacts.remote = remote,
     }
-    // Whoever finds nobody must be found and keeps a row of its own soon, but not in step with all others that start now:
-    // each would overwrite the row of the one before, and be found by nobody in turn. The others know too few yet to
-    // tell who is to keep the rows.
-    let found = !rows.is_empty() && members.join.first();
+    // A node that found no contact writes a row soon so that others find it. The random delay keeps
+    // nodes that start together from overwriting each other's rows unread.
+    let found = !rows.is_empty() && members.join.is_first();
     let pause = match alone && !found {
-        true => cx.rng.random_range(0..LONE_MS),
+        true => cx.rng.random_range(0..FIRST_WRITE_MAX_MS),
         false => FIRST_CHECK_MS,
     };
-    let first = check_after(cx.now, pause);
+    let first = last_check_for(cx.now, pause);
     members.contacts.checked = members.contacts.checked.max(first);
 }
 
-/// Asks contacts abroad that nobody has told of, once somebody has told this process whom it knows. Where a whole fleet starts,
-/// those nearby know as little, and a host whose zone lacks a service would refuse its callers until comparisons get there.
-pub(super) fn look_abroad(cx: &mut Context<'_>, members: &mut Members) {
-    let mut unknown = std::mem::take(&mut members.contacts.abroad);
+/// Sends a join to the contacts in other zones that are still unknown after the first view arrived.
+///
+/// When a whole fleet starts, members of the own zone know little of other zones. Without this, a host
+/// whose zone lacks a service would refuse requests for it until anti-entropy reaches the other zones.
+pub(super) fn join_remote_contacts(cx: &mut Context<'_>, members: &mut Members) {
+    let mut unknown = std::mem::take(&mut members.contacts.remote);
     unknown.retain(|it| !members.others.contains_key(it));
     if unknown.is_empty() {
         return;
     }
-    let near = members.ready_in(&members.own.zone).count() as u32;
-    if cx.rng.random_ratio(SCOUTS.min(near.max(1)), near.max(1)) {
-        join::ask(cx, members, &unknown);
+    let local = members.ready_in(&members.own.zone).count() as u32;
+    if cx
+        .rng
+        .random_ratio(REMOTE_JOINS.min(local.max(1)), local.max(1))
+    {
+        join::send_joins(cx, members, &unknown);
     }
 }
 
-/// The table was put back to an older copy: this node's row may be gone, and it is written again if it falls to this node.
-pub(super) fn restored(cx: &mut Context<'_>, members: &mut Members) {
+/// Schedules a check after the table was restored from an older copy, which may lack this node's row.
+pub(super) fn handle_restored_table(cx: &mut Context<'_>, members: &mut Members) {
     let contacts = &mut members.contacts;
     contacts.written = None;
-    // Jitter, so that the keepers of all rows do not write in step with everybody else who lost theirs.
+    // Jitter, so that the nodes don't all write at once.
     let pause = cx.rng.random_range(0..FIRST_CHECK_MS);
-    contacts.checked = check_after(cx.now, pause);
+    contacts.checked = last_check_for(cx.now, pause);
 }
 
-/// What stands for the last look, so that the next one comes after `pause` ms.
-fn check_after(now: Ms, pause: u64) -> Ms {
+/// Returns the time of last check that makes the next one due `pause` ms after `now`.
+fn last_check_for(now: Ms, pause: u64) -> Ms {
     now + pause - CHECK_MS
 }
 
-/// Keeps this node's row, if one falls to it.
+/// Writes this node's contact row if the check is due and the row is missing or old.
 pub(super) fn tick(cx: &mut Context<'_>, members: &mut Members) {
     let alone = members.others.is_empty();
     if members.contacts.scan.is_some() && alone {
@@ -165,47 +173,47 @@
         return;
     }
     members.contacts.checked = cx.now;
-    if !members.trusted() || members.cut_off() {
+    if !members.is_fresh() || members.is_partitioned() {
         return;
     }
     let slot = match alone {
         true => Some(cx.rng.random_range(0..CONTACT_SLOTS)),
-        false => place(members),
+        false => own_slot(members),
     };
     let Some(slot) = slot else {
         members.contacts.written = None;
         return;
     };
-    let fresh = |it: Written| {
+    let is_current = |it: WrittenRow| {
         let same = it.alone == alone && (alone || it.slot == slot);
         same && cx.now.since(it.time) < REFRESH_MS
     };
-    if members.contacts.written.is_some_and(fresh) {
+    if members.contacts.written.is_some_and(is_current) {
         return;
     }
     if alone {
-        // The first few that find each other look again soon.
-        members.contacts.checked = check_after(cx.now, FIRST_CHECK_MS);
+        // Checks again soon, since other starting nodes may overwrite the row.
+        members.contacts.checked = last_check_for(cx.now, FIRST_CHECK_MS);
     }
-    members.contacts.written = Some(Written {
+    members.contacts.written = Some(WrittenRow {
         slot,
         time: cx.now,
         alone,
     });
-    write(cx, members, slot);
-    // A fleet split into two that never heard of one another finds itself by these rows.
+    write_row(cx, members, slot);
+    // Two halves of a fleet that don't know each other find each other by these rows.
     scan(cx, members);
 }
 
-/// The row of its zone that falls to this node, if one does.
-fn place(members: &Members) -> Option<usize> {
-    let near = members.ready_in(&members.own.zone);
-    let ranked = rendezvous(CONTACT_PREFIX, near.map(|it| it.id));
+/// Returns the slot of its zone that is assigned to this node, if any.
+fn own_slot(members: &Members) -> Option<usize> {
+    let local = members.ready_in(&members.own.zone);
+    let ranked = rendezvous(CONTACT_PREFIX, local.map(|it| it.id));
     let mut first = ranked.iter().take(CONTACT_SLOTS);
     first.position(|it| *it == members.own.id)
 }
 
-fn write(cx: &mut Context<'_>, members: &Members, slot: usize) {
+fn write_row(cx: &mut Context<'_>, members: &Members, slot: usize) {
     let contact = Contact {
         id: members.own.id,
         stamp: members.own.stamp(),
@@ -214,7 +222,7 @@
         return;
     };
     let key = contact_key(&members.own.zone, slot);
-    // No check: two views that differ only overwrite one good contact by another.
+    // No precondition: nodes whose views differ only replace one valid contact by another.
     cx.table(TableOp::Commit {
         checks: Vec::new(),
         writes: vec![Write::Put { key, value }],
--- a/crates/kernel/src/members/digest.rs
+++ b/crates/kernel/src/members/digest.rs
@@ -1,12 +1,12 @@
-//! Digests of a view: two nodes compare them to find the records in which they differ.
+//! Digests of a view, by which two nodes find the records in which they differ.
 
 use super::record::{Head, ZoneState};
 use crate::{id::NodeId, utils::hash64};
 
-/// Buckets that the records of a view are split into.
+/// Number of buckets that the records of a view are split into.
 pub const BUCKETS: usize = 64;
 
-/// A digest for each bucket, kept up to date with each change.
+/// One digest per bucket, updated with each change of the view.
 #[derive(Clone, Debug)]
 pub(super) struct Digest {
     buckets: [u64; BUCKETS],
@@ -23,24 +23,24 @@
 }
 
 impl Digest {
-    /// Adds a head, or removes one that was added.
+    /// Adds a head, or removes it if it was added before.
     pub(super) fn toggle(&mut self, head: Head) {
         let hash = hash64(&[
             &id_bytes(head.id),
             &head.stamp.incarnation.to_le_bytes(),
             &head.stamp.version.to_le_bytes(),
         ]);
-        self.buckets[usize::from(bucket(head.id))] ^= hash;
+        self.buckets[usize::from(bucket_of(head.id))] ^= hash;
     }
 
-    /// Adds what is known of a zone, or removes it again. Epoch zero counts as nothing.
+    /// Adds the state of a zone, or removes it if it was added before. Epoch zero adds nothing.
     pub(super) fn toggle_zone(&mut self, state: &ZoneState) {
         if state.epoch > 0 {
             self.zones ^= hash64(&[state.zone.as_str().as_bytes(), &state.epoch.to_le_bytes()]);
         }
     }
 
-    /// One digest for all of it.
+    /// Returns the digest of the whole view.
     pub(super) fn root(&self) -> u64 {
         let bytes: Vec<u8> = self
             .buckets
@@ -50,14 +50,14 @@
         hash64(&[&bytes, &self.zones.to_le_bytes()])
     }
 
-    /// The digests of all buckets, shortened for the wire.
+    /// Returns the digests of all buckets, truncated for the wire.
     pub(super) fn buckets(&self) -> [u32; BUCKETS] {
         self.buckets.map(|it| it as u32)
     }
 }
 
-/// The bucket of a node.
-pub(super) fn bucket(id: NodeId) -> u8 {
+/// Returns the bucket of a node.
+pub(super) fn bucket_of(id: NodeId) -> u8 {
     (hash64(&[&id_bytes(id)]) % BUCKETS as u64) as u8
 }
 
--- a/crates/kernel/src/members/join.rs
+++ b/crates/kernel/src/members/join.rs
@@ -1,64 +1,64 @@
-//! Joins: how a node that knows nobody finds the fleet.
+//! Joins: a node that reaches no other member asks configured peers or contact rows for the fleet.
 
 use rand::{Rng, seq::IndexedRandom};
 
 use super::{Members, Message, contact};
 use crate::{clock::Ms, event, id::NodeId, kernel::Context};
 
-/// First contacts asked at a time.
-const ASKED: usize = 2;
+/// Contacts asked per attempt.
+const CONTACTS_ASKED: usize = 2;
 
-/// Shortest and longest ms between two attempts.
+/// Base and longest time between two attempts, in ms.
 const RETRY_MS: u64 = 500;
 const RETRY_MAX_MS: u64 = 30_000;
 
-/// Attempts to find somebody.
+/// State of the join attempts.
 #[derive(Debug, Default)]
 pub(super) struct Join {
-    tries: u32,
+    attempts: u32,
     next: Ms,
 }
 
 impl Join {
-    /// Whether the present attempt is the first.
-    pub(super) fn first(&self) -> bool {
-        self.tries <= 1
+    /// Returns whether the current attempt is the first.
+    pub(super) fn is_first(&self) -> bool {
+        self.attempts <= 1
     }
 }
 
-/// The first attempt.
+/// Makes the first attempt.
 pub(super) fn start(cx: &mut Context<'_>, members: &mut Members) {
-    attempt(cx, members);
+    attempt_join(cx, members);
 }
 
-/// Tries again while nobody can be reached.
+/// Repeats the attempt while no other member is reachable.
 pub(super) fn tick(cx: &mut Context<'_>, members: &mut Members) {
     let alone = members.others.len() == members.unreachable.len();
     if !alone {
-        members.join.tries = 0;
+        members.join.attempts = 0;
     } else if cx.now >= members.join.next {
-        attempt(cx, members);
+        attempt_join(cx, members);
     }
 }
 
-/// Asks up to a few random ones of `contacts` for what they know.
-pub(super) fn ask(cx: &mut Context<'_>, members: &Members, contacts: &[NodeId]) {
+/// Sends a join to a few random nodes out of `contacts`.
+pub(super) fn send_joins(cx: &mut Context<'_>, members: &Members, contacts: &[NodeId]) {
     let own = members.own.id;
     let contacts: Vec<NodeId> = contacts.iter().copied().filter(|it| *it != own).collect();
-    for to in contacts.choose_multiple(cx.rng, ASKED) {
+    for to in contacts.choose_multiple(cx.rng, CONTACTS_ASKED) {
         let record = members.own.clone();
         cx.send(*to, event::Message::Members(Message::Join { record }));
     }
 }
 
-fn attempt(cx: &mut Context<'_>, members: &mut Members) {
-    let longest = (RETRY_MS << members.join.tries.min(6)).min(RETRY_MAX_MS);
+fn attempt_join(cx: &mut Context<'_>, members: &mut Members) {
+    let longest = (RETRY_MS << members.join.attempts.min(6)).min(RETRY_MAX_MS);
     members.join.next = cx.now + cx.rng.random_range(RETRY_MS / 2..=longest);
-    members.join.tries += 1;
+    members.join.attempts += 1;
     let peers = cx.settings.peers.clone();
-    ask(cx, members, &peers);
-    // Given peers may all have been replaced since the flags were written.
-    if peers.is_empty() || members.join.tries > 2 {
+    send_joins(cx, members, &peers);
+    // The configured peers may all have been replaced since the settings were written.
+    if peers.is_empty() || members.join.attempts > 2 {
         contact::scan(cx, members);
     }
 }
--- a/crates/kernel/src/members/probe.rs
+++ b/crates/kernel/src/members/probe.rs
@@ -1,42 +1,43 @@
-//! Probes: one member a second is pinged, by others too if it does not answer.
+//! Failure detection by probes: each node pings one member per second, and asks other members to ping
+//! it too if it doesn't answer.
 
 use std::collections::BTreeMap;
 
 use rand::{Rng, seq::SliceRandom};
 
 use super::{
-    Members, Phase, Reach, Relay,
+    Members, Phase, Propagation, Reach,
     record::{Packet, Update},
     suspect,
 };
 use crate::{clock::Ms, event::Action, id::NodeId, kernel::Context};
 
-/// Time between two probes of a node, in ms.
+/// Mean time between two probes that a node sends, in ms.
 pub const PROBE_MS: u64 = 1_000;
 
-/// Time that a direct answer may take before others are asked to probe, in ms.
+/// Timeout of a direct probe in ms, after which indirect probes are requested.
 pub const ACK_MS: u64 = 300;
 
 /// Most bytes of updates in one datagram; with the link's frame it stays under 1,200 bytes.
 pub const PACKET_MAX: usize = 1_100;
 
-/// Members asked to probe one that does not answer.
-const HELPERS: usize = 3;
+/// Members asked to ping a member that doesn't answer.
+const INDIRECT_PROBES: usize = 3;
 
-/// Members to whom urgent news is pushed at once.
-const PUSH: usize = 3;
+/// Members that each push is sent to.
+const PUSH_FANOUT: usize = 3;
 
-/// Ms between two pushes of urgent news.
-const PUSH_MS: u64 = 100;
+/// Least time between two pushes, in ms.
+const PUSH_INTERVAL_MS: u64 = 100;
 
-/// Every so many probes an unreachable member is probed besides.
-const HEAL_EVERY: u64 = 2;
+/// Every this many probes, an unreachable member is probed in addition.
+const RECOVERY_EVERY: u64 = 2;
 
-/// Most pings passed on for others at a time.
-const RELAYED_MAX: usize = 64;
+/// Most indirect probes in flight for other nodes.
+const INDIRECT_MAX: usize = 64;
 
 #[derive(Debug)]
-struct Pending {
+struct PendingProbe {
     target: NodeId,
     sent: Ms,
     stage: Stage,
@@ -44,23 +45,23 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Asked by this node alone.
+    /// Only this node pinged the target.
     Direct,
-    /// Others were asked to ping the target.
+    /// Other members were asked to ping the target.
     Indirect,
-    /// A probe of an unreachable member: no answer is no news.
-    Heal,
+    /// A probe of an unreachable member; no answer has no effect.
+    Recovery,
 }
 
-/// A ping made for another node.
+/// A ping sent on request of another node.
 #[derive(Debug)]
-struct Relayed {
-    to: NodeId,
+struct IndirectPing {
+    requester: NodeId,
     number: u64,
     sent: Ms,
 }
 
-/// Probes on their way.
+/// State of the probes in flight.
 #[derive(Debug, Default)]
 pub(super) struct Prober {
     next: Ms,
@@ -68,15 +69,15 @@
     number: u64,
     rounds: u64,
     order: Vec<NodeId>,
-    pending: BTreeMap<u64, Pending>,
-    relayed: BTreeMap<u64, Relayed>,
+    pending: BTreeMap<u64, PendingProbe>,
+    indirect: BTreeMap<u64, IndirectPing>,
 }
 
 impl Prober {
-    /// Forgets what is on its way: answers may have come and gone while the process slept.
+    /// Drops the probes in flight: their answers may have been lost while the process was paused.
     pub(super) fn reset(&mut self, now: Ms) {
         self.pending.clear();
-        self.relayed.clear();
+        self.indirect.clear();
         self.next = now;
     }
 
@@ -86,11 +87,11 @@
     }
 }
 
-/// Sends what is due and judges what went unanswered.
+/// Handles probes that timed out and sends the next probe if it is due.
 pub(super) fn tick(cx: &mut Context<'_>, members: &mut Members) {
-    unanswered(cx, members);
+    expire_probes(cx, members);
     if members.prober.next == Ms(0) {
-        // A herd that starts together must not probe in step.
+        // A random start, so that nodes that start together don't all probe at once.
         members.prober.next = cx.now + cx.rng.random_range(1..=PROBE_MS);
     }
     if cx.now < members.prober.next {
@@ -99,50 +100,57 @@
     members.prober.next = cx.now + cx.rng.random_range(PROBE_MS * 9 / 10..=PROBE_MS * 11 / 10);
     members.prober.rounds += 1;
     let target = next_target(cx, members);
-    if target.is_none() || members.prober.rounds.is_multiple_of(HEAL_EVERY) {
-        heal(cx, members);
+    if target.is_none() || members.prober.rounds.is_multiple_of(RECOVERY_EVERY) {
+        probe_unreachable(cx, members);
     }
     if let Some(target) = target {
         ping(cx, members, target, Stage::Direct);
     }
 }
 
-/// Pushes urgent news to a few members at once.
-pub(super) fn push(cx: &mut Context<'_>, members: &mut Members) {
-    if cx.now.since(members.prober.pushed) < PUSH_MS {
+/// Pushes the updates that don't wait for a probe to a few members.
+pub(super) fn push_updates(cx: &mut Context<'_>, members: &mut Members) {
+    if cx.now.since(members.prober.pushed) < PUSH_INTERVAL_MS {
         return;
     }
-    let updates = members.queue.take_eager(cx.now, PACKET_MAX, PUSH);
+    let updates = members.queue.take_pushes(cx.now, PACKET_MAX, PUSH_FANOUT);
     if updates.is_empty() {
         return;
     }
     members.prober.pushed = cx.now;
-    for to in reachable_peers(cx, members, PUSH, members.own.id) {
+    for to in reachable_peers(cx, members, PUSH_FANOUT, members.own.id) {
         let updates = updates.clone();
         send(cx, to, Packet::News { updates });
     }
 }
 
 /// Handles one datagram.
-pub(super) fn received(cx: &mut Context<'_>, members: &mut Members, from: NodeId, packet: &Packet) {
+pub(super) fn handle_packet(
+    cx: &mut Context<'_>,
+    members: &mut Members,
+    from: NodeId,
+    packet: &Packet,
+) {
     if from == members.own.id {
         return;
     }
     match packet {
         Packet::Ping { number, updates } => {
-            learn(cx, members, updates);
-            answer(cx, members, from, *number);
+            apply_updates(cx, members, updates);
+            send_ack(cx, members, from, *number);
         }
         Packet::Ack { number, updates } => {
-            learn(cx, members, updates);
-            acked(cx, members, from, *number);
+            apply_updates(cx, members, updates);
+            handle_ack(cx, members, from, *number);
+        }
+        Packet::PingReq { number, target } => {
+            send_indirect_ping(cx, members, from, *number, *target)
         }
-        Packet::PingReq { number, target } => relay(cx, members, from, *number, *target),
-        Packet::News { updates } => learn(cx, members, updates),
+        Packet::News { updates } => apply_updates(cx, members, updates),
     }
 }
 
-/// Up to `count` random reachable members other than `except`.
+/// Returns up to `count` random reachable members other than `except`.
 pub(super) fn reachable_peers(
     cx: &mut Context<'_>,
     members: &Members,
@@ -166,57 +174,63 @@
     chosen
 }
 
-fn learn(cx: &mut Context<'_>, members: &mut Members, updates: &[Update]) {
+fn apply_updates(cx: &mut Context<'_>, members: &mut Members, updates: &[Update]) {
     for update in updates {
-        members.learn(cx.now, update, Relay::Pass);
+        members.apply_update(cx.now, update, Propagation::Gossip);
         if let Update::Suspect(head) | Update::Dead(head) = update
             && head.id == members.own.id
         {
-            suspect::contradict(cx.now, members, *head);
+            suspect::resend_own_record(cx.now, members, *head);
         }
     }
 }
 
-fn answer(cx: &mut Context<'_>, members: &mut Members, from: NodeId, number: u64) {
+fn send_ack(cx: &mut Context<'_>, members: &mut Members, from: NodeId, number: u64) {
     if members.own.phase == Phase::Gone {
         return;
     }
-    let updates = news_for(cx, members, from);
+    let updates = updates_for(cx, members, from);
     send(cx, from, Packet::Ack { number, updates });
 }
 
-fn acked(cx: &mut Context<'_>, members: &mut Members, from: NodeId, number: u64) {
-    if let Some(it) = members.prober.relayed.remove(&number) {
+fn handle_ack(cx: &mut Context<'_>, members: &mut Members, from: NodeId, number: u64) {
+    if let Some(it) = members.prober.indirect.remove(&number) {
         let updates = Vec::new();
         let ack = Packet::Ack {
             number: it.number,
             updates,
         };
-        return send(cx, it.to, ack);
+        return send(cx, it.requester, ack);
     }
     let Some(pending) = members.prober.pending.remove(&number) else {
         return;
     };
-    // Only a helper that was asked may answer in the target's place.
+    // An ack from another node than the target counts only after indirect probes were requested.
     if pending.target != from && pending.stage != Stage::Indirect {
         members.prober.pending.insert(number, pending);
         return;
     }
-    suspect::answered(cx, members, pending.target);
+    suspect::record_answer(cx, members, pending.target);
 }
 
-fn relay(cx: &mut Context<'_>, members: &mut Members, from: NodeId, number: u64, target: NodeId) {
-    // Only members are pinged, or strangers could aim the fleet at any address.
-    if !members.others.contains_key(&target) || members.prober.relayed.len() >= RELAYED_MAX {
+fn send_indirect_ping(
+    cx: &mut Context<'_>,
+    members: &mut Members,
+    from: NodeId,
+    number: u64,
+    target: NodeId,
+) {
+    // Only members are pinged, otherwise anyone could direct the fleet's pings at any address.
+    if !members.others.contains_key(&target) || members.prober.indirect.len() >= INDIRECT_MAX {
         return;
     }
     let own = members.prober.next_number();
-    let it = Relayed {
-        to: from,
+    let it = IndirectPing {
+        requester: from,
         number,
         sent: cx.now,
     };
-    members.prober.relayed.insert(own, it);
+    members.prober.indirect.insert(own, it);
     let updates = Vec::new();
     let ping = Packet::Ping {
         number: own,
@@ -225,11 +239,13 @@
     send(cx, target, ping);
 }
 
-fn unanswered(cx: &mut Context<'_>, members: &mut Members) {
+fn expire_probes(cx: &mut Context<'_>, members: &mut Members) {
     let now = cx.now;
     let prober = &mut members.prober;
-    prober.relayed.retain(|_, it| now.since(it.sent) < PROBE_MS);
-    let mut ask = Vec::new();
+    prober
+        .indirect
+        .retain(|_, it| now.since(it.sent) < PROBE_MS);
+    let mut requests = Vec::new();
     let mut failed = Vec::new();
     for (number, it) in &mut prober.pending {
         let age = now.since(it.sent);
@@ -237,18 +253,18 @@
             failed.push((*number, it.target, it.stage));
         } else if age >= ACK_MS && it.stage == Stage::Direct {
             it.stage = Stage::Indirect;
-            ask.push((*number, it.target));
+            requests.push((*number, it.target));
         }
     }
-    for (number, target) in ask {
-        for helper in reachable_peers(cx, members, HELPERS, target) {
+    for (number, target) in requests {
+        for helper in reachable_peers(cx, members, INDIRECT_PROBES, target) {
             send(cx, helper, Packet::PingReq { number, target });
         }
     }
     for (number, target, stage) in failed {
         members.prober.pending.remove(&number);
-        if stage != Stage::Heal {
-            suspect::unanswered(cx, members, target);
+        if stage != Stage::Recovery {
+            suspect::record_missed_probe(cx, members, target);
         }
     }
 }
@@ -266,36 +282,37 @@
     None
 }
 
-fn heal(cx: &mut Context<'_>, members: &mut Members) {
+fn probe_unreachable(cx: &mut Context<'_>, members: &mut Members) {
     let count = members.unreachable.len();
     if count == 0 {
         return;
     }
     let idx = cx.rng.random_range(0..count);
     if let Some(target) = members.unreachable.iter().nth(idx).copied() {
-        ping(cx, members, target, Stage::Heal);
+        ping(cx, members, target, Stage::Recovery);
     }
 }
 
 fn ping(cx: &mut Context<'_>, members: &mut Members, target: NodeId, stage: Stage) {
     let number = members.prober.next_number();
-    let pending = Pending {
+    let pending = PendingProbe {
         target,
         sent: cx.now,
         stage,
     };
     members.prober.pending.insert(number, pending);
-    let updates = news_for(cx, members, target);
+    let updates = updates_for(cx, members, target);
     send(cx, target, Packet::Ping { number, updates });
 }
 
-/// What concerns `to` itself, so that it can refute it, then the news of the day.
-fn news_for(cx: &mut Context<'_>, members: &mut Members, to: NodeId) -> Vec<Update> {
+/// Returns the updates to piggyback for `to`: first claims about `to` itself, which it may refute,
+/// then queued updates.
+fn updates_for(cx: &mut Context<'_>, members: &mut Members, to: NodeId) -> Vec<Update> {
     let mut updates = suspect::claims_about(members, to);
     let used: usize = updates.iter().map(Update::size).sum();
-    let times = members.times();
+    let limit = members.transmit_limit();
     let room = PACKET_MAX.saturating_sub(used);
-    updates.extend(members.queue.take(cx.now, room, times));
+    updates.extend(members.queue.take_piggybacked(cx.now, room, limit));
     updates
 }
 
--- a/crates/kernel/src/members/queue.rs
+++ b/crates/kernel/src/members/queue.rs
@@ -1,92 +1,92 @@
-//! News on its way out: what is piggybacked on probes, how often and in how many bytes.
+//! Queue of updates to gossip, with the limits on how often and in how many bytes they are sent.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
 use super::record::{Topic, Update};
 use crate::clock::Ms;
 
-/// Bytes of piggybacked news that a node may send each second on average.
-pub const NEWS_RATE: u64 = 160;
+/// Bytes of non-urgent updates that a node may send per second on average.
+pub const GOSSIP_RATE: u64 = 160;
 
-/// Bytes of news that may be sent at once after a quiet time.
-pub const NEWS_BURST: u64 = 16 * 1024;
+/// Bytes of non-urgent updates that may be sent in a burst.
+pub const GOSSIP_BURST: u64 = 16 * 1024;
 
-/// Bytes a second of urgent news, and at once after a quiet time. They have an allowance of their own: a fleet that
-/// starts uses up the other for half a minute, and a node that leaves then would be sent work until probes miss it.
-/// A departure takes some 250 bytes of each node.
+/// Rate in bytes per second and burst in bytes for urgent updates. They have a budget of their own,
+/// because a starting fleet exhausts the other, and a node that leaves would then be sent work until
+/// probes to it fail.
 pub const URGENT_RATE: u64 = 480;
 pub const URGENT_BURST: u64 = 16 * 1024;
 
-/// With more news than this in the queue, each piece is sent a third as often: anti-entropy finds the
-/// few nodes that it misses, and new pieces do not wait behind old ones.
-const CROWDED: usize = 64;
+/// Queue length above which each update is sent a third as often, so that new updates don't wait
+/// behind old ones. Anti-entropy covers the nodes that are missed.
+const CROWDED_LEN: usize = 64;
 
-/// Ms after which news is old: everybody has it, or finds it by anti-entropy. A herd that starts would
-/// fill the queue for an hour otherwise.
-const NEWS_MS: u64 = 30_000;
+/// Time in ms after which an update is dropped; nodes that missed it get it by anti-entropy. Without
+/// this bound, the start of a whole fleet would fill the queue for a long time.
+const UPDATE_TTL_MS: u64 = 30_000;
 
 #[derive(Debug)]
-struct Item {
+struct QueuedUpdate {
     update: Update,
     size: usize,
-    sent: u32,
-    eager: u32,
-    pace: Pace,
-    born: Ms,
+    times_sent: u32,
+    pushes_left: u32,
+    delivery: Delivery,
+    queued: Ms,
 }
 
-/// How fast a piece of news travels.
+/// How an update is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Pace {
-    /// On the probes alone.
+pub(super) enum Delivery {
+    /// On probes only.
     Piggyback,
     /// Also pushed at once by its origin.
     Origin,
-    /// Also pushed at once by everyone who hears it.
+    /// Also pushed at once by every node that receives it.
     Urgent,
 }
 
-impl Pace {
+impl Delivery {
     fn pushes(self) -> u32 {
         match self {
-            Pace::Piggyback => 0,
-            Pace::Origin => 1,
-            Pace::Urgent => 2,
+            Delivery::Piggyback => 0,
+            Delivery::Origin => 1,
+            Delivery::Urgent => 2,
         }
     }
 }
 
-/// The news that this node still passes on.
+/// Updates that this node still sends.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    items: BTreeMap<Topic, Item>,
-    news: Allowance,
-    urgent: Allowance,
+    items: BTreeMap<Topic, QueuedUpdate>,
+    regular: ByteBudget,
+    urgent: ByteBudget,
 }
 
-/// Bytes that may be sent now; they come back over time.
+/// Bytes that may be sent now, refilled over time.
 #[derive(Debug, Default)]
-struct Allowance {
+struct ByteBudget {
     left: u64,
-    filled: Ms,
+    refilled: Ms,
 }
 
-impl Allowance {
-    /// Adds what has come back by `now`: `rate` bytes a second, up to `burst`.
+impl ByteBudget {
+    /// Refills the budget at `rate` bytes per second, up to `burst`.
     fn refill(&mut self, now: Ms, rate: u64, burst: u64) {
-        if self.filled == Ms(0) {
+        if self.refilled == Ms(0) {
             self.left = burst;
-            self.filled = now;
+            self.refilled = now;
         }
-        let bytes = now.since(self.filled) * rate / 1_000;
+        let bytes = now.since(self.refilled) * rate / 1_000;
         if bytes > 0 {
-            self.filled = now;
+            self.refilled = now;
             self.left = (self.left + bytes).min(burst);
         }
     }
 
-    /// Takes `bytes`, if so many are left.
-    fn spend(&mut self, bytes: usize) -> bool {
+    /// Takes `bytes` out of the budget. Returns false, and takes nothing, if fewer are left.
+    fn try_spend(&mut self, bytes: usize) -> bool {
         let bytes = bytes as u64;
         let enough = bytes <= self.left;
         if enough {
@@ -97,25 +97,25 @@
 }
 
 impl Queue {
-    /// Adds `update` in place of older news on the same topic.
-    pub(super) fn push(&mut self, now: Ms, update: Update, pace: Pace) {
-        let item = Item {
+    /// Adds `update` in place of an older one on the same topic.
+    pub(super) fn push(&mut self, now: Ms, update: Update, delivery: Delivery) {
+        let item = QueuedUpdate {
             size: update.size(),
-            sent: 0,
-            eager: pace.pushes(),
-            pace,
-            born: now,
+            times_sent: 0,
+            pushes_left: delivery.pushes(),
+            delivery,
+            queued: now,
             update,
         };
         self.items.insert(item.update.topic(), item);
     }
 
-    /// Forgets the news on `topic`.
+    /// Removes the update on `topic`.
     pub(super) fn remove(&mut self, topic: &Topic) {
         self.items.remove(topic);
     }
 
-    /// Forgets the news on `topic` if it is a suspicion.
+    /// Removes the update on `topic` if it is a suspicion.
     pub(super) fn remove_suspicion(&mut self, topic: &Topic) {
         if let Some(item) = self.items.get(topic)
             && matches!(item.update, Update::Suspect(_))
@@ -124,71 +124,72 @@
         }
     }
 
-    /// Forgets every suspicion.
+    /// Removes every suspicion.
     pub(super) fn clear_suspicions(&mut self) {
         self.items
             .retain(|_, it| !matches!(it.update, Update::Suspect(_)));
     }
 
-    /// The news for one datagram with `room` bytes left, least sent and newest first. News that was sent `times`
-    /// leaves the queue.
-    pub(super) fn take(&mut self, now: Ms, room: usize, times: u32) -> Vec<Update> {
+    /// Takes the updates for one datagram with `room` bytes left, least sent and newest first. An
+    /// update that was sent `limit` times leaves the queue.
+    pub(super) fn take_piggybacked(&mut self, now: Ms, room: usize, limit: u32) -> Vec<Update> {
         self.refill(now);
-        self.items.retain(|_, it| now.since(it.born) < NEWS_MS);
+        self.items
+            .retain(|_, it| now.since(it.queued) < UPDATE_TTL_MS);
         let mut topics: Vec<(u32, Reverse<Ms>, &Topic)> = self
             .items
             .iter()
-            .map(|(topic, it)| (it.sent, Reverse(it.born), topic))
+            .map(|(topic, it)| (it.times_sent, Reverse(it.queued), topic))
             .collect();
         topics.sort_unstable();
         let topics: Vec<Topic> = topics.into_iter().map(|(.., it)| it.clone()).collect();
-        self.collect(topics, room, times)
+        self.collect(topics, room, limit)
     }
 
-    /// The news to push to `copies` nodes at once, if any.
-    pub(super) fn take_eager(&mut self, now: Ms, room: usize, copies: usize) -> Vec<Update> {
-        let waiting = |it: &&Item| it.eager > 0;
+    /// Takes the updates to push to `copies` nodes.
+    pub(super) fn take_pushes(&mut self, now: Ms, room: usize, copies: usize) -> Vec<Update> {
+        let waiting = |it: &&QueuedUpdate| it.pushes_left > 0;
         if !self.items.values().any(|it| waiting(&it)) {
             return Vec::new();
         }
         self.refill(now);
         let mut room = room;
         let mut updates = Vec::new();
-        for item in self.items.values_mut().filter(|it| it.eager > 0) {
-            let allowance = match item.pace {
-                Pace::Urgent => &mut self.urgent,
-                Pace::Origin | Pace::Piggyback => &mut self.news,
+        for item in self.items.values_mut().filter(|it| it.pushes_left > 0) {
+            let budget = match item.delivery {
+                Delivery::Urgent => &mut self.urgent,
+                Delivery::Origin | Delivery::Piggyback => &mut self.regular,
             };
-            if item.size > room || !allowance.spend(item.size * copies) {
+            if item.size > room || !budget.try_spend(item.size * copies) {
                 continue;
             }
             room -= item.size;
-            item.eager -= 1;
+            item.pushes_left -= 1;
             updates.push(item.update.clone());
         }
         updates
     }
 
-    fn collect(&mut self, topics: Vec<Topic>, mut room: usize, times: u32) -> Vec<Update> {
-        let crowded = self.items.len() > CROWDED;
+    fn collect(&mut self, topics: Vec<Topic>, mut room: usize, limit: u32) -> Vec<Update> {
+        let crowded = self.items.len() > CROWDED_LEN;
         let mut updates = Vec::new();
         for topic in topics {
             let Some(item) = self.items.get_mut(&topic) else {
                 continue;
             };
-            let allowance = match item.pace {
-                Pace::Urgent => &mut self.urgent,
-                Pace::Origin | Pace::Piggyback => &mut self.news,
+            let budget = match item.delivery {
+                Delivery::Urgent => &mut self.urgent,
+                Delivery::Origin | Delivery::Piggyback => &mut self.regular,
             };
-            if item.size > room || !allowance.spend(item.size) {
+            if item.size > room || !budget.try_spend(item.size) {
                 continue;
             }
             room -= item.size;
-            item.sent += 1;
+            item.times_sent += 1;
             updates.push(item.update.clone());
-            // What everybody pushes has reached almost everybody before the first probe.
-            let fewer = crowded || item.pace == Pace::Urgent;
-            if item.sent >= if fewer { times.div_ceil(3) } else { times } {
+            // Pushes by every receiver have reached most nodes before the first probe.
+            let fewer = crowded || item.delivery == Delivery::Urgent;
+            if item.times_sent >= if fewer { limit.div_ceil(3) } else { limit } {
                 self.items.remove(&topic);
             }
         }
@@ -196,7 +197,7 @@
     }
 
     fn refill(&mut self, now: Ms) {
-        self.news.refill(now, NEWS_RATE, NEWS_BURST);
+        self.regular.refill(now, GOSSIP_RATE, GOSSIP_BURST);
         self.urgent.refill(now, URGENT_RATE, URGENT_BURST);
     }
 }
--- a/crates/kernel/src/members/record.rs
+++ b/crates/kernel/src/members/record.rs
@@ -1,4 +1,4 @@
-//! What nodes tell of themselves and of one another.
+//! Membership records and the messages that carry them.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::id::{Name, NodeId};
 
-/// What one node tells of itself. Only its owner changes it; a higher [`Stamp`] wins.
+/// State that a node publishes about itself. Only the node itself changes it; a higher [`Stamp`] wins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The node.
@@ -17,18 +17,18 @@
     pub version: u64,
     /// Phase of the upstream beside it.
     pub phase: Phase,
-    /// Where other nodes send it requests.
+    /// Address to which other nodes send requests.
     pub traffic: SocketAddr,
     /// Region.
     pub region: Name,
     /// Availability zone.
     pub zone: Name,
-    /// The service of the upstream beside it, if one announced itself.
+    /// Service of the upstream beside it, if one announced itself.
     pub offer: Option<Offer>,
 }
 
 impl Record {
-    /// Incarnation and version.
+    /// Returns the incarnation and version.
     pub fn stamp(&self) -> Stamp {
         Stamp {
             incarnation: self.incarnation,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The node and its stamp.
+    /// Returns the node and its stamp.
     pub fn head(&self) -> Head {
         Head {
             id: self.id,
@@ -50,55 +50,55 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp {
-    /// Start of the process.
+    /// Start of the process in ms since the epoch.
     pub incarnation: u64,
-    /// Changes within the incarnation.
+    /// Number of changes within the incarnation.
     pub version: u64,
 }
 
-/// A record by name: which node, and how new.
+/// Identifies one version of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The node.
     pub id: NodeId,
-    /// How new the record is.
+    /// Stamp of the record.
     pub stamp: Stamp,
 }
 
-/// What the upstream beside a node serves.
+/// Service that the upstream beside a node provides.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
     /// The service.
     pub service: Name,
-    /// Requests that it handles at once.
+    /// Number of requests that the upstream handles at once.
     pub slots: u16,
 }
 
 /// Phase of the upstream beside a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// Not ready for work yet.
+    /// Not ready for requests yet.
     Warming,
-    /// Takes work.
+    /// Takes requests.
     Ready,
-    /// Takes no new work.
+    /// Takes no new requests.
     Draining,
-    /// Left.
+    /// Has left the fleet.
     Gone,
 }
 
-/// A change of phase that does not exist.
+/// A change of phase that is not allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("phase {from:?} cannot become {to:?}: announce a new upstream or restart the node")]
 pub struct BadPhase {
-    /// The present phase.
+    /// Current phase.
     pub from: Phase,
-    /// The phase asked for.
+    /// Requested phase.
     pub to: Phase,
 }
 
 impl Phase {
-    /// The phase after a change to `to`, or an error if a node in this phase cannot go there.
+    /// Returns the phase after a change to `to`, or an error if this phase doesn't allow it.
     pub fn change(self, to: Phase) -> Result<Phase, BadPhase> {
         use Phase::{Draining, Gone, Ready, Warming};
         match (self, to) {
@@ -110,53 +110,53 @@
     }
 }
 
-/// Whether this node can reach another, apart from the phase that the other tells of itself.
+/// Whether this node can reach another one, independent of the phase that the other publishes.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum Reach {
-    /// It answers probes, or nobody says otherwise.
+    /// It answers probes, or no node suspects it.
     #[default]
     Reachable,
-    /// Some probe went unanswered; it may refute this.
+    /// A probe went unanswered; the member may refute the suspicion.
     Suspect,
-    /// Nobody here reaches it, yet it may still be there: this node or its zone may be cut off.
+    /// It doesn't answer, but may be running: this node or its zone may be partitioned.
     Unreachable,
 }
 
-/// Whether a whole availability zone is cut off. Odd epochs say lost, even ones found; the higher
-/// epoch wins, so any member of the zone refutes its loss with the next epoch.
+/// Whether a whole availability zone is lost. Odd epochs mean lost, even ones found. The higher epoch
+/// wins, so any member of the zone refutes its loss with the next epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneState {
     /// The availability zone.
     pub zone: Name,
-    /// Zero at first; odd while lost.
+    /// Zero at first, odd while the zone is lost.
     pub epoch: u64,
 }
 
 impl ZoneState {
-    /// Whether this epoch says that the zone is lost.
+    /// Returns whether the zone is lost.
     pub fn lost(&self) -> bool {
         self.epoch % 2 == 1
     }
 }
 
-/// One piece of news, as it travels in datagrams and bulk messages.
+/// A membership update, as sent in datagrams and bulk messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// A record, whole.
+    /// A whole record.
     Record(Record),
-    /// A known member drains or left; a third of the size of its record.
+    /// A known member drains or left. Shorter than its record.
     Leaving { head: Head, phase: Phase },
-    /// The member went unanswered; a higher stamp refutes it.
+    /// The member is suspected to have failed; a higher stamp refutes it.
     Suspect(Head),
-    /// The member is taken for dead; a higher stamp refutes it.
+    /// The member is declared dead; a higher stamp refutes it.
     Dead(Head),
     /// A zone was lost or found.
     Zone(ZoneState),
 }
 
-/// What an update is about; the queue holds one update for each topic.
+/// Subject of an update; the queue holds one update per topic.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Topic {
     /// One node.
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Encoded size in bytes.
+    /// Returns the encoded size in bytes.
     pub(super) fn size(&self) -> usize {
         postcard::to_stdvec(self).map_or(usize::MAX, |it| it.len())
     }
@@ -185,37 +185,37 @@
 /// A probe datagram. `updates` is bounded by [`super::PACKET_MAX`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Packet {
-    /// Are you there?
+    /// Asks the receiver for an ack.
     Ping { number: u64, updates: Vec<Update> },
-    /// Yes; or, from the one asked by a [`Packet::PingReq`]: the target is.
+    /// Answers a ping, or a [`Packet::PingReq`] whose target answered.
     Ack { number: u64, updates: Vec<Update> },
-    /// Please ping `target` and pass its answer on: it did not answer me.
+    /// Asks the receiver to ping `target`, which didn't answer the sender, and to forward its ack.
     PingReq { number: u64, target: NodeId },
-    /// News that does not wait for the next probe.
+    /// Updates that don't wait for the next probe.
     News { updates: Vec<Update> },
 }
 
-/// Member records exchanged in bulk over the link; each message stays under [`super::CHUNK_MAX`].
+/// Bulk exchange of member records over the link; each message stays under [`super::CHUNK_MAX`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// I am new: here is my record, send me what you know.
+    /// Announces a new node and asks for the receiver's view.
     Join { record: Record },
-    /// Records and other news.
+    /// Records and other updates.
     Records { updates: Vec<Update> },
-    /// I serve enough joins at present: ask one of these.
+    /// The sender serves too many joins at present; the receiver may ask one of `others`.
     Busy { others: Vec<NodeId> },
-    /// My view has this digest.
+    /// The digest of the sender's view.
     Compare { root: u64 },
-    /// Mine is the same.
+    /// Answers [`Message::Compare`]: the digests are equal.
     Same,
-    /// Mine differs; these are the digests of its buckets.
+    /// Answers [`Message::Compare`]: the digests differ; `digests` are those of the sender's buckets.
     Buckets { digests: Vec<u32> },
-    /// The heads of all my records in `buckets`, which differ, and what I know of zones.
+    /// The heads of the sender's records in `buckets`, which differ, and the states of all zones.
     Heads {
         buckets: Vec<u8>,
         heads: Vec<Head>,
         zones: Vec<ZoneState>,
     },
-    /// Send me the records of these nodes.
+    /// Asks for the records of these nodes.
     Pull { ids: Vec<NodeId> },
 }
--- a/crates/kernel/src/members/suspect.rs
+++ b/crates/kernel/src/members/suspect.rs
@@ -1,69 +1,70 @@
-//! Suspicion: who went unanswered, who is removed for it, and when this node doubts itself instead.
+//! Suspicion and removal of members that don't answer, tombstones of removed members, and detection of
+//! a partition of this node from the fleet.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{
-    Learned, Members, Reach, Stamp, log2,
-    queue::Pace,
+    Applied, Members, Reach, Stamp, log2,
+    queue::Delivery,
     record::{Head, Packet, Topic, Update},
 };
 use crate::{clock::Ms, event::Action, id::NodeId, kernel::Context};
 
-/// Losses within this time count as lost at once, in ms.
-pub const LOSS_MS: u64 = 10_000;
+/// Time in ms within which losses count as one event.
+pub const LOSS_WINDOW_MS: u64 = 10_000;
 
-/// Ms that an unreachable member is kept before it is removed.
-pub const KEEP_MS: u64 = 3_600_000;
+/// Time in ms after which an unreachable member is removed.
+pub const UNREACHABLE_TTL_MS: u64 = 3_600_000;
 
-/// Ms that a tombstone is kept.
-pub const TOMB_MS: u64 = 600_000;
+/// Time in ms that a tombstone is kept.
+pub const TOMBSTONE_TTL_MS: u64 = 600_000;
 
-/// Losing more than one in so many members at once means that this node may be cut off.
-pub(super) const LOSS_SHARE: usize = 3;
+/// A loss of more than one in this many members at once is a mass loss.
+pub(super) const LOSS_RATIO: usize = 3;
 
-/// Ms after the last large loss during which nobody is removed.
-const CUT_OFF_MS: u64 = 120_000;
+/// Time in ms after the last mass loss during which no member is removed.
+const PARTITION_MS: u64 = 120_000;
 
-/// Least lost members that count as a large loss.
+/// Least number of lost members that count as a mass loss.
 const LOSS_MIN: usize = 2;
 
-/// Most tombstones; the oldest goes first.
-const TOMBS_MAX: usize = 8_192;
+/// Most tombstones kept; the oldest is evicted first.
+const TOMBSTONES_MAX: usize = 8_192;
 
-/// Least ms that a suspect has to refute.
-const SUSPICION_MIN: u64 = 3_000;
+/// Least time in ms that a suspect has to refute.
+const SUSPICION_MIN_MS: u64 = 3_000;
 
-/// Acknowledgements after which a view is trusted again.
-const TRUST_ACKS: u8 = 2;
+/// Answers after which a view is fresh again.
+const FRESH_ACKS: u8 = 2;
 
-/// Ms that a suspect has to refute before it is removed; grows with the logarithm of the fleet, as the
-/// time that news needs to reach everyone does.
-pub fn suspicion(members: usize) -> u64 {
-    SUSPICION_MIN + 750 * u64::from(log2(members))
+/// Returns the time in ms that a suspect has to refute before it is removed. It grows with the
+/// logarithm of the fleet's size, as the time that gossip takes to reach every member does.
+pub fn suspicion_timeout_ms(members: usize) -> u64 {
+    SUSPICION_MIN_MS + 750 * u64::from(log2(members))
 }
 
-/// Whether the view is fresh.
+/// Whether the view is fresh enough to act on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum Trust {
-    /// Nothing speaks against it.
+pub(super) enum Freshness {
+    /// The process was not paused, or enough members answered since.
     #[default]
     Fresh,
-    /// The process was paused; so many answers came since.
+    /// The process was paused; `acks` answers came since.
     Checking { acks: u8 },
 }
 
-/// Heads of members that left or died.
+/// Tombstones: heads of members that left or died.
 #[derive(Debug, Default)]
-pub(super) struct Tombs {
+pub(super) struct Tombstones {
     heads: BTreeMap<NodeId, Stamp>,
     order: VecDeque<(Ms, Head)>,
 }
 
-impl Tombs {
+impl Tombstones {
     pub(super) fn insert(&mut self, now: Ms, head: Head) {
         self.heads.insert(head.id, head.stamp);
         self.order.push_back((now, head));
-        if self.order.len() > TOMBS_MAX {
+        if self.order.len() > TOMBSTONES_MAX {
             self.drop_oldest();
         }
     }
@@ -72,7 +73,7 @@
         self.heads.remove(&id);
     }
 
-    /// Whether `head` is no newer than the tombstone of its node.
+    /// Returns whether `head` is no newer than the tombstone of its node.
     pub(super) fn covers(&self, head: Head) -> bool {
         self.heads.get(&head.id).is_some_and(|it| *it >= head.stamp)
     }
@@ -86,7 +87,7 @@
         while self
             .order
             .front()
-            .is_some_and(|(since, _)| now.since(*since) >= TOMB_MS)
+            .is_some_and(|(since, _)| now.since(*since) >= TOMBSTONE_TTL_MS)
         {
             self.drop_oldest();
         }
@@ -101,16 +102,17 @@
     }
 }
 
-/// What was lost lately, and whether it is too much to believe.
+/// Recent losses, and whether they amount to a partition of this node.
 #[derive(Debug, Default)]
 pub(super) struct Losses {
-    /// Suspects and when their time to refute ends.
+    /// Suspects and the times by which they have to refute.
     deadlines: BTreeMap<NodeId, Ms>,
-    /// Members lost within [`LOSS_MS`].
+    /// Members lost within [`LOSS_WINDOW_MS`].
     recent: VecDeque<(Ms, NodeId)>,
-    /// Outcomes of this node's own probes within [`LOSS_MS`].
+    /// Outcomes of this node's own probes within [`LOSS_WINDOW_MS`].
     probes: VecDeque<(Ms, NodeId, Outcome)>,
-    cut_off: Option<Ms>,
+    /// Time of the last mass loss, unless the partition has ended.
+    partitioned: Option<Ms>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -120,28 +122,28 @@
 }
 
 impl Losses {
-    pub(super) fn cut_off(&self) -> bool {
-        self.cut_off.is_some()
+    pub(super) fn is_partitioned(&self) -> bool {
+        self.partitioned.is_some()
     }
 
-    /// `id` is a suspect no more.
-    pub(super) fn settle(&mut self, id: NodeId) {
+    /// Ends the suspicion of `id`.
+    pub(super) fn end_suspicion(&mut self, id: NodeId) {
         self.deadlines.remove(&id);
     }
 
-    /// `id` is there, or gone by its own word: it was no loss.
-    pub(super) fn forget(&mut self, id: NodeId) {
+    /// Removes `id` from the recent losses: it is reachable, or has left on its own.
+    pub(super) fn retract(&mut self, id: NodeId) {
         self.deadlines.remove(&id);
         self.recent.retain(|(_, it)| *it != id);
     }
 
-    /// Members lost within [`LOSS_MS`].
+    /// Returns the members lost within [`LOSS_WINDOW_MS`].
     pub(super) fn recent(&self) -> impl Iterator<Item = NodeId> {
         self.recent.iter().map(|(_, it)| *it)
     }
 
     fn expire(&mut self, now: Ms) {
-        let old = |at: Ms| now.since(at) >= LOSS_MS;
+        let old = |at: Ms| now.since(at) >= LOSS_WINDOW_MS;
         while self.recent.front().is_some_and(|(at, _)| old(*at)) {
             self.recent.pop_front();
         }
@@ -150,116 +152,119 @@
         }
     }
 
-    fn large(&self, others: usize) -> bool {
-        let much = |lost: usize, of: usize| lost >= LOSS_MIN && lost * LOSS_SHARE > of;
+    /// Returns whether too many of `others` members, or of the own probes, were lost at once.
+    fn is_mass_loss(&self, others: usize) -> bool {
+        let exceeds = |lost: usize, of: usize| lost >= LOSS_MIN && lost * LOSS_RATIO > of;
         let failed = self
             .probes
             .iter()
             .filter(|(.., it)| *it == Outcome::Unanswered);
-        much(self.recent.len(), others) || much(failed.count(), self.probes.len())
+        exceeds(self.recent.len(), others) || exceeds(failed.count(), self.probes.len())
     }
 }
 
 impl Members {
-    pub(super) fn learn_suspect(&mut self, now: Ms, head: Head) -> Learned {
+    pub(super) fn apply_suspect(&mut self, now: Ms, head: Head) -> Applied {
         if head.id == self.own.id {
             if head.stamp >= self.own.stamp() {
                 self.refute(now, head.stamp);
             }
-            return Learned::Known;
+            return Applied::Unchanged;
         }
         let known = self.others.get(&head.id);
-        let doubted =
+        let is_suspect =
             known.is_some_and(|it| it.reach == Reach::Reachable && it.record.stamp() <= head.stamp);
-        if !doubted {
-            return Learned::Known;
+        if !is_suspect {
+            return Applied::Unchanged;
         }
-        self.suspect(now, head);
-        Learned::New
+        self.mark_suspect(now, head);
+        Applied::Changed
     }
 
-    pub(super) fn learn_dead(&mut self, now: Ms, head: Head) -> Learned {
+    pub(super) fn apply_dead(&mut self, now: Ms, head: Head) -> Applied {
         if head.id == self.own.id {
-            return self.learn_suspect(now, head);
+            return self.apply_suspect(now, head);
         }
         match self.others.get(&head.id) {
-            None if self.tombs.covers(head) => Learned::Known,
+            None if self.tombstones.covers(head) => Applied::Unchanged,
             None => {
-                self.tombs.insert(now, head);
-                Learned::Known
+                self.tombstones.insert(now, head);
+                Applied::Unchanged
             }
-            Some(it) if it.record.stamp() > head.stamp => Learned::Known,
-            // Who lost a third of the fleet may be hearing the other third's mistake.
-            Some(_) if self.cut_off() => {
+            Some(it) if it.record.stamp() > head.stamp => Applied::Unchanged,
+            // While this node may be partitioned, it removes no member on the word of others.
+            Some(_) if self.is_partitioned() => {
                 self.set_reach(now, head.id, Reach::Unreachable);
-                Learned::New
+                Applied::Changed
             }
             Some(_) => {
-                self.bury(now, head);
-                Learned::New
+                self.remove_with_tombstone(now, head);
+                Applied::Changed
             }
         }
     }
 
-    fn suspect(&mut self, now: Ms, head: Head) {
+    fn mark_suspect(&mut self, now: Ms, head: Head) {
         self.set_reach(now, head.id, Reach::Suspect);
-        let deadline = now + suspicion(self.others.len());
+        let deadline = now + suspicion_timeout_ms(self.others.len());
         self.losses.deadlines.insert(head.id, deadline);
         self.losses.recent.push_back((now, head.id));
-        self.queue.push(now, Update::Suspect(head), Pace::Piggyback);
-        self.check_loss(now);
-        self.check_zone(now, head.id);
+        self.queue
+            .push(now, Update::Suspect(head), Delivery::Piggyback);
+        self.check_partition(now);
+        self.check_zone_loss(now, head.id);
     }
 
-    fn check_loss(&mut self, now: Ms) {
-        if self.losses.large(self.others.len()) {
-            self.losses.cut_off = Some(now);
+    fn check_partition(&mut self, now: Ms) {
+        if self.losses.is_mass_loss(self.others.len()) {
+            self.losses.partitioned = Some(now);
         }
     }
 
-    /// The suspect's time is over.
-    fn condemn(&mut self, now: Ms, id: NodeId) {
+    /// Removes a suspect whose time to refute is over, or marks it unreachable during a partition.
+    fn expire_suspicion(&mut self, now: Ms, id: NodeId) {
         self.losses.deadlines.remove(&id);
         let Some(head) = self.others.get(&id).map(|it| it.record.head()) else {
             return;
         };
         self.queue.remove(&Topic::Node(id));
-        match self.cut_off() {
+        match self.is_partitioned() {
             true => self.set_reach(now, id, Reach::Unreachable),
-            false => self.bury(now, head),
+            false => self.remove_with_tombstone(now, head),
         }
     }
 
-    /// A member answers that was taken for lost: this node is not cut off any more. What it holds
-    /// against the others is from the time when it was, so the probes begin anew for all but lost
-    /// zones. Those that are dead indeed are suspected and removed by that.
-    fn rejoin(&mut self, now: Ms) {
-        self.losses.cut_off = None;
+    /// Ends a partition after a lost member answered.
+    ///
+    /// Suspicions date from the partition, so every member outside lost zones counts as reachable
+    /// until new probes fail.
+    fn end_partition(&mut self, now: Ms) {
+        self.losses.partitioned = None;
         self.losses.recent.clear();
         self.losses.probes.clear();
         self.queue.clear_suspicions();
-        let doubted: Vec<NodeId> = self
+        let suspects: Vec<NodeId> = self
             .others
             .values()
             .filter(|it| it.reach != Reach::Reachable)
             .filter(|it| !self.zones.state(&it.record.zone).lost())
             .map(|it| it.record.id)
             .collect();
-        for id in doubted {
+        for id in suspects {
             self.set_reach(now, id, Reach::Reachable);
         }
     }
 }
 
-/// Ends suspicions, tombstones and long absences that are due.
+/// Expires suspicions, tombstones, the partition and members that were unreachable for too long.
 pub(super) fn tick(cx: &mut Context<'_>, members: &mut Members) {
     let now = cx.now;
     members.losses.expire(now);
-    members.tombs.expire(now);
-    if let Some(since) = members.losses.cut_off
-        && now.since(since) >= CUT_OFF_MS
+    members.tombstones.expire(now);
+    if let Some(since) = members.losses.partitioned
+        && now.since(since) >= PARTITION_MS
     {
-        members.losses.cut_off = None;
+        members.losses.partitioned = None;
     }
     let due: Vec<NodeId> = members
         .losses
@@ -269,7 +274,7 @@
         .map(|(id, _)| *id)
         .collect();
     for id in due {
-        members.condemn(now, id);
+        members.expire_suspicion(now, id);
         let text = match members.reach(id) {
             Some(_) => "unreachable",
             None => "dead",
@@ -283,79 +288,80 @@
         .unreachable
         .iter()
         .filter_map(|id| members.others.get(id))
-        .filter(|it| now.since(it.since) >= KEEP_MS)
+        .filter(|it| now.since(it.reach_since) >= UNREACHABLE_TTL_MS)
         .map(|it| it.record.head())
         .collect();
     for head in expired {
-        members.bury(now, head);
+        members.remove_with_tombstone(now, head);
     }
 }
 
-/// The process slept for `lost` ms. Acks came and went meanwhile, so every suspicion starts anew and
-/// nobody is declared dead because this node did not listen; the view is not trusted until others
-/// answer.
-pub(super) fn paused(cx: &mut Context<'_>, members: &mut Members, lost: u64) {
+/// Handles a pause of the process of `lost` ms.
+///
+/// Acks may have been lost meanwhile, so every suspicion starts anew and no member is declared dead
+/// because of the pause. The view isn't fresh until other members answer.
+pub(super) fn handle_pause(cx: &mut Context<'_>, members: &mut Members, lost: u64) {
     let now = cx.now;
-    members.trust = Trust::Checking { acks: 0 };
+    members.freshness = Freshness::Checking { acks: 0 };
     members.heartbeat = now;
     members.prober.reset(now);
-    members.sync.hurry(now);
+    members.sync.compare_now(now);
     members.losses.recent.clear();
     members.losses.probes.clear();
-    let deadline = now + suspicion(members.others.len());
+    let deadline = now + suspicion_timeout_ms(members.others.len());
     for it in members.losses.deadlines.values_mut() {
         *it = deadline;
     }
-    // The news of a suspicion may have gone stale in the queue meanwhile. A suspect that never hears of it
-    // cannot refute it and would be removed although it is there.
+    // The queued suspicions may have expired meanwhile. A suspect that isn't notified can't refute and
+    // would be removed although it is running.
     let suspects: Vec<NodeId> = members.losses.deadlines.keys().copied().collect();
     for id in suspects {
-        tell_suspect(cx, members, id);
+        notify_suspect(cx, members, id);
     }
     cx.log("paused", vec![("lost", lost.to_string())]);
 }
 
-/// `id` answered a probe of this node.
-pub(super) fn answered(cx: &mut Context<'_>, members: &mut Members, id: NodeId) {
+/// Records that `id` answered a probe of this node.
+pub(super) fn record_answer(cx: &mut Context<'_>, members: &mut Members, id: NodeId) {
     let now = cx.now;
     members
         .losses
         .probes
         .push_back((now, id, Outcome::Answered));
-    refreshed(members);
-    let back = match members.reach(id) {
+    count_answer(members);
+    let has_returned = match members.reach(id) {
         Some(Reach::Unreachable) => true,
-        Some(Reach::Suspect) => members.cut_off(),
+        Some(Reach::Suspect) => members.is_partitioned(),
         Some(Reach::Reachable) | None => false,
     };
-    if back {
-        members.rejoin(now);
+    if has_returned {
+        members.end_partition(now);
         members.prober.reset(now);
-        members.sync.hurry(now);
+        members.sync.compare_now(now);
     }
     members.set_reach(now, id, Reach::Reachable);
-    let few = members.unreachable.len() * LOSS_SHARE <= members.others.len();
-    if few && !members.losses.large(members.others.len()) {
-        members.losses.cut_off = None;
+    let few = members.unreachable.len() * LOSS_RATIO <= members.others.len();
+    if few && !members.losses.is_mass_loss(members.others.len()) {
+        members.losses.partitioned = None;
     }
 }
 
-/// `id` answered neither this node nor its helpers.
-pub(super) fn unanswered(cx: &mut Context<'_>, members: &mut Members, id: NodeId) {
+/// Records that `id` answered neither a direct nor an indirect probe, and suspects it.
+pub(super) fn record_missed_probe(cx: &mut Context<'_>, members: &mut Members, id: NodeId) {
     let now = cx.now;
     members
         .losses
         .probes
         .push_back((now, id, Outcome::Unanswered));
-    members.check_loss(now);
+    members.check_partition(now);
     if let Some(head) = members.others.get(&id).map(|it| it.record.head()) {
-        members.learn_suspect(now, head);
-        tell_suspect(cx, members, id);
+        members.apply_suspect(now, head);
+        notify_suspect(cx, members, id);
     }
 }
 
-/// Tells `id` that it is a suspect: the sooner it hears, the sooner it refutes.
-fn tell_suspect(cx: &mut Context<'_>, members: &Members, id: NodeId) {
+/// Notifies `id` that it is a suspect, so that it can refute.
+fn notify_suspect(cx: &mut Context<'_>, members: &Members, id: NodeId) {
     if let Some(head) = members.others.get(&id).map(|it| it.record.head()) {
         let updates = vec![Update::Suspect(head)];
         let packet = Packet::News { updates };
@@ -363,21 +369,21 @@
     }
 }
 
-/// Somebody answered: one step towards a trusted view.
-pub(super) fn refreshed(members: &mut Members) {
-    if let Trust::Checking { acks } = members.trust {
+/// Counts an answer of another member towards a fresh view.
+pub(super) fn count_answer(members: &mut Members) {
+    if let Freshness::Checking { acks } = members.freshness {
         let reachable = members.others.len() - members.unreachable.len();
-        let enough = usize::from(TRUST_ACKS).min(reachable.max(1));
-        members.trust = match usize::from(acks) + 1 >= enough {
-            true => Trust::Fresh,
-            false => Trust::Checking { acks: acks + 1 },
+        let enough = usize::from(FRESH_ACKS).min(reachable.max(1));
+        members.freshness = match usize::from(acks) + 1 >= enough {
+            true => Freshness::Fresh,
+            false => Freshness::Checking { acks: acks + 1 },
         };
     }
 }
 
-/// What `to` should hear of itself and may refute.
+/// Returns the claims about `to` that it may refute.
 pub(super) fn claims_about(members: &Members, to: NodeId) -> Vec<Update> {
-    if let Some(head) = members.tombs.get(to) {
+    if let Some(head) = members.tombstones.get(to) {
         return vec![Update::Dead(head)];
     }
     let Some(member) = members.others.get(&to) else {
@@ -393,10 +399,10 @@
     }
 }
 
-/// Somebody who pinged this node suspects it by a stamp that is outdone already: tell it again.
-pub(super) fn contradict(now: Ms, members: &mut Members, head: Head) {
+/// Sends the own record again if a peer suspects this node by an older stamp.
+pub(super) fn resend_own_record(now: Ms, members: &mut Members, head: Head) {
     if head.stamp < members.own.stamp() && members.own.phase != super::Phase::Gone {
         let update = Update::Record(members.own.clone());
-        members.queue.push(now, update, Pace::Piggyback);
+        members.queue.push(now, update, Delivery::Piggyback);
     }
 }
--- a/crates/kernel/src/members/sync.rs
+++ b/crates/kernel/src/members/sync.rs
@@ -1,11 +1,11 @@
-//! Bulk exchange over the link: whole views for joins, differences for anti-entropy.
+//! Bulk exchange over the link: whole views for joins and differences for anti-entropy.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use rand::{Rng, seq::SliceRandom};
 
 use super::{
-    Learned, Members, Message, Relay, contact, digest, join, probe,
+    Applied, Members, Message, Propagation, contact, digest, join, probe,
     record::{Head, Update},
     suspect,
 };
@@ -14,38 +14,40 @@
 /// Most bytes of updates in one message; the link drops frames above 64 KiB.
 pub const CHUNK_MAX: usize = 48 * 1024;
 
-/// Mean ms between two comparisons that a node begins.
+/// Mean time between two comparisons that a node begins, in ms.
 pub const SYNC_MS: u64 = 10_000;
 
-/// The same while the process is young, and how long it is, in ms. Where a whole fleet starts, whom a node asked first knew
-/// few itself, and callers are refused for want of endpoints that are there.
-const SYNC_YOUNG_MS: u64 = 1_000;
-const YOUNG_MS: u64 = 8_000;
+/// The same after the start of the process, and for how long it holds, in ms. When a whole fleet
+/// starts, the first view received is incomplete and requests would be refused for lack of endpoints.
+const STARTUP_SYNC_MS: u64 = 1_000;
+const STARTUP_MS: u64 = 8_000;
 
-/// Members among which a partner of the own zone is looked for, and how many comparisons begin with any of them.
-const DRAWN: usize = 8;
-const ABROAD: u32 = 4;
+/// Random members among which a partner in the own zone is preferred.
+const CANDIDATES: usize = 8;
+
+/// One comparison in this many is with a member of any zone.
+const ANY_ZONE_RATIO: u32 = 4;
 
 /// Most joins and pulls served at a time.
-const SERVED_MAX: usize = 8;
+const OUTGOING_MAX: usize = 8;
 
-/// Members named to a node that is turned away.
-const REFERRED: usize = 4;
+/// Other members named to a node whose join or pull is not served.
+const REFERRALS: usize = 4;
 
-/// About the most heads in one message; the rest follows with the next comparison.
+/// Approximate limit of heads in one message; the rest follows with the next comparison.
 const HEADS_MAX: usize = 1_500;
 
-/// More updates than this in one message are a whole view rather than news.
-const NEWS_MAX: usize = 16;
+/// Messages with more updates than this are treated as whole views and not gossiped further.
+const GOSSIPED_MAX: usize = 16;
 
-/// What is still to be sent to one node.
+/// Records still to be sent to one node.
 #[derive(Debug)]
 struct Outgoing {
     to: NodeId,
     ids: Vec<NodeId>,
 }
 
-/// Bulk exchanges on their way.
+/// State of the bulk exchanges.
 #[derive(Debug, Default)]
 pub(super) struct Sync {
     started: Ms,
@@ -54,8 +56,8 @@
 }
 
 impl Sync {
-    /// Compares at the next tick.
-    pub(super) fn hurry(&mut self, now: Ms) {
+    /// Makes the next comparison due at the next tick.
+    pub(super) fn compare_now(&mut self, now: Ms) {
         self.next = now;
     }
 }
@@ -65,39 +67,40 @@
     send_chunk(cx, members);
     if members.sync.started == Ms(0) {
         members.sync.started = cx.now;
-        members.sync.next = cx.now + cx.rng.random_range(0..SYNC_YOUNG_MS);
+        members.sync.next = cx.now + cx.rng.random_range(0..STARTUP_SYNC_MS);
     }
     if cx.now < members.sync.next {
         return;
     }
-    let mean = match cx.now.since(members.sync.started) < YOUNG_MS {
-        true => SYNC_YOUNG_MS,
+    let mean = match cx.now.since(members.sync.started) < STARTUP_MS {
+        true => STARTUP_SYNC_MS,
         false => SYNC_MS,
     };
     members.sync.next = cx.now + cx.rng.random_range(mean / 2..=mean * 3 / 2);
-    if let Some(to) = partner(cx, members) {
+    if let Some(to) = choose_partner(cx, members) {
         let root = members.digest.root();
         send(cx, to, Message::Compare { root });
     }
 }
 
-/// Whom to compare with: mostly one of the own zone, since what is found to differ costs most between zones.
-fn partner(cx: &mut Context<'_>, members: &Members) -> Option<NodeId> {
+/// Returns a random member to compare with, mostly of the own zone, since traffic between zones costs
+/// most.
+fn choose_partner(cx: &mut Context<'_>, members: &Members) -> Option<NodeId> {
     let own = members.own.id;
-    let near = |id: &NodeId| {
+    let is_local = |id: &NodeId| {
         let member = members.others.get(id);
         member.is_some_and(|it| it.record.zone == members.own.zone)
     };
-    let drawn = probe::reachable_peers(cx, members, DRAWN, own);
-    let near = drawn.iter().find(|it| near(it));
-    match near {
-        Some(it) if !cx.rng.random_ratio(1, ABROAD) => Some(*it),
-        _ => drawn.first().copied(),
+    let candidates = probe::reachable_peers(cx, members, CANDIDATES, own);
+    let local = candidates.iter().find(|it| is_local(it));
+    match local {
+        Some(it) if !cx.rng.random_ratio(1, ANY_ZONE_RATIO) => Some(*it),
+        _ => candidates.first().copied(),
     }
 }
 
 /// Handles one bulk message.
-pub(super) fn received(
+pub(super) fn handle_message(
     cx: &mut Context<'_>,
     members: &mut Members,
     from: NodeId,
@@ -106,31 +109,31 @@
     match message {
         Message::Join { record } => {
             let known: Vec<NodeId> = members.ids.clone();
-            members.learn(cx.now, &Update::Record(record.clone()), Relay::Pass);
-            serve(cx, members, from, known);
+            members.apply_update(cx.now, &Update::Record(record.clone()), Propagation::Gossip);
+            serve_records(cx, members, from, known);
         }
-        Message::Records { updates } => records(cx, members, updates),
+        Message::Records { updates } => apply_records(cx, members, updates),
         Message::Busy { others } => {
             if members.others.is_empty() {
-                join::ask(cx, members, others);
+                join::send_joins(cx, members, others);
             }
         }
-        Message::Compare { root } => compare(cx, members, from, *root),
-        // A peer that knows just what this node knows has told it as much as one that sent its view.
+        Message::Compare { root } => answer_compare(cx, members, from, *root),
+        // An equal digest is as good as the peer's whole view.
         Message::Same => {
             members.joined = true;
-            suspect::refreshed(members);
+            suspect::count_answer(members);
         }
-        Message::Buckets { digests } => buckets(cx, members, from, digests),
+        Message::Buckets { digests } => send_heads(cx, members, from, digests),
         Message::Heads {
             buckets,
             heads,
             zones,
         } => {
             for it in zones {
-                members.learn(cx.now, &Update::Zone(it.clone()), Relay::Pass);
+                members.apply_update(cx.now, &Update::Zone(it.clone()), Propagation::Gossip);
             }
-            differences(cx, members, from, buckets, heads);
+            exchange_records(cx, members, from, buckets, heads);
         }
         Message::Pull { ids } => {
             let ids: Vec<NodeId> = ids
@@ -138,31 +141,31 @@
                 .copied()
                 .filter(|it| members.others.contains_key(it))
                 .collect();
-            serve(cx, members, from, ids);
+            serve_records(cx, members, from, ids);
         }
     }
 }
 
-fn records(cx: &mut Context<'_>, members: &mut Members, updates: &[Update]) {
-    // What one comparison finds, others may lack too; a whole view is old news to them.
-    let relay = match updates.len() <= NEWS_MAX {
-        true => Relay::Pass,
-        false => Relay::Keep,
+fn apply_records(cx: &mut Context<'_>, members: &mut Members, updates: &[Update]) {
+    // Other members may lack a few differences too, but not a whole view.
+    let propagation = match updates.len() <= GOSSIPED_MAX {
+        true => Propagation::Gossip,
+        false => Propagation::Local,
     };
     let alone = members.others.is_empty();
-    let mut learned = false;
+    let mut changed = false;
     for it in updates {
-        learned |= members.learn(cx.now, it, relay) == Learned::New;
+        changed |= members.apply_update(cx.now, it, propagation) == Applied::Changed;
     }
     members.joined = true;
-    contact::look_abroad(cx, members);
-    suspect::refreshed(members);
-    if alone && learned {
-        members.change_own(cx.now, |_| {}, super::Pace::Origin);
+    contact::join_remote_contacts(cx, members);
+    suspect::count_answer(members);
+    if alone && changed {
+        members.change_own(cx.now, |_| {}, super::Delivery::Origin);
     }
 }
 
-fn compare(cx: &mut Context<'_>, members: &mut Members, from: NodeId, root: u64) {
+fn answer_compare(cx: &mut Context<'_>, members: &mut Members, from: NodeId, root: u64) {
     let same = root == members.digest.root();
     members.joined |= same;
     let message = match same {
@@ -174,7 +177,7 @@
     send(cx, from, message);
 }
 
-fn buckets(cx: &mut Context<'_>, members: &mut Members, from: NodeId, digests: &[u32]) {
+fn send_heads(cx: &mut Context<'_>, members: &mut Members, from: NodeId, digests: &[u32]) {
     let own = members.digest.buckets();
     let mut differ: Vec<u8> = own
         .iter()
@@ -183,12 +186,12 @@
         .filter(|(_, (lhs, rhs))| lhs != rhs)
         .map(|(idx, _)| idx as u8)
         .collect();
-    // So much differs in a herd that starts, or after a cut; a single change is on its way by probes.
+    // Large differences appear after the start of a whole fleet or a partition; compare again soon.
     if differ.len() > digest::BUCKETS / 2 {
         let soon = cx.now + cx.rng.random_range(SYNC_MS / 10..=SYNC_MS / 5);
         members.sync.next = members.sync.next.min(soon);
     }
-    // The first buckets must not hide the others for ever behind the bound.
+    // A random order, so that the limit doesn't always leave out the same buckets.
     differ.shuffle(cx.rng);
     let each = members.others.len().div_ceil(digest::BUCKETS).max(1);
     differ.truncate((HEADS_MAX / each).max(1));
@@ -205,8 +208,8 @@
     );
 }
 
-/// Sends what `from` lacks and asks for what this node lacks.
-fn differences(
+/// Sends the records that `from` lacks and pulls those that this node lacks.
+fn exchange_records(
     cx: &mut Context<'_>,
     members: &mut Members,
     from: NodeId,
@@ -221,12 +224,12 @@
             true => Some(members.own.stamp()),
             false => members.stamp(head.id),
         };
-        if let Some(tomb) = members
-            .tombs
+        if let Some(tombstone) = members
+            .tombstones
             .get(head.id)
-            .filter(|_| members.tombs.covers(*head))
+            .filter(|_| members.tombstones.covers(*head))
         {
-            dead.push(Update::Dead(tomb));
+            dead.push(Update::Dead(tombstone));
         } else if own < Some(head.stamp) {
             pull.push(head.id);
         } else if own == Some(head.stamp) {
@@ -239,31 +242,31 @@
         .filter(|it| !current.contains(it) && !pull.contains(it))
         .collect();
     let zones = members.zones.states().into_iter().map(Update::Zone);
-    let updates: Vec<Update> = zones.chain(dead).take(SCRAPS_MAX).collect();
+    let updates: Vec<Update> = zones.chain(dead).take(TOMBSTONES_SENT_MAX).collect();
     send(cx, from, Message::Records { updates });
     if !pull.is_empty() {
         send(cx, from, Message::Pull { ids: pull });
     }
     if !push.is_empty() {
-        serve(cx, members, from, push);
+        serve_records(cx, members, from, push);
     }
 }
 
-/// Most tombstones and zones in one message, to stay below [`CHUNK_MAX`].
-const SCRAPS_MAX: usize = 512;
+/// Most tombstones and zone states in one message, to stay below [`CHUNK_MAX`].
+const TOMBSTONES_SENT_MAX: usize = 512;
 
 fn heads_in(members: &Members, buckets: &[u8]) -> Vec<Head> {
     members
         .alive()
         .map(|it| it.head())
-        .filter(|it| buckets.contains(&digest::bucket(it.id)))
+        .filter(|it| buckets.contains(&digest::bucket_of(it.id)))
         .collect()
 }
 
-/// Sends the records of `ids` and this node's own to `to`, one chunk a tick.
-fn serve(cx: &mut Context<'_>, members: &mut Members, to: NodeId, ids: Vec<NodeId>) {
-    if members.sync.outgoing.len() >= SERVED_MAX {
-        let others = probe::reachable_peers(cx, members, REFERRED, to);
+/// Sends the records of `ids` and this node's own to `to`, one chunk per tick.
+fn serve_records(cx: &mut Context<'_>, members: &mut Members, to: NodeId, ids: Vec<NodeId>) {
+    if members.sync.outgoing.len() >= OUTGOING_MAX {
+        let others = probe::reachable_peers(cx, members, REFERRALS, to);
         return send(cx, to, Message::Busy { others });
     }
     members.sync.outgoing.retain(|it| it.to != to);
--- a/crates/kernel/src/members/zone_loss.rs
+++ b/crates/kernel/src/members/zone_loss.rs
@@ -1,15 +1,14 @@
-//! The loss of a whole availability zone, which travels as one record.
+//! Loss of a whole availability zone, sent as one [`ZoneState`] instead of one update per member.
 //!
-//! A zone of 165 nodes that dies at once would be 100 KB a node in single records. One [`ZoneState`]
-//! of about 12 bytes says the same; any member of the zone that hears it refutes it.
+//! Any member of the zone that receives it refutes it.
 
 use std::collections::BTreeMap;
 
 use super::{
-    Learned, Members, Reach,
-    queue::Pace,
+    Applied, Members, Reach,
+    queue::Delivery,
     record::{Topic, Update, ZoneState},
-    suspect::LOSS_SHARE,
+    suspect::LOSS_RATIO,
 };
 use crate::{
     clock::Ms,
@@ -17,28 +16,29 @@
     kernel::Context,
 };
 
-/// Least lost members that count as the loss of a zone.
+/// Least number of lost members that count as the loss of a zone.
 const ZONE_LOSS_MIN: usize = 3;
 
-/// Ms after a zone was found during which it is not declared lost again: some of it is there, so its
-/// dead members are removed one by one.
+/// Time in ms after a zone was found during which it is not declared lost again. Part of the zone is
+/// reachable, so its dead members are removed one by one.
 const HOLDOFF_MS: u64 = 60_000;
 
-/// Most zones remembered: made-up names must not fill the memory.
+/// Most zones kept, so that made-up names can't exhaust the memory.
 const ZONES_MAX: usize = 512;
 
 #[derive(Debug, Default)]
 struct Zone {
     members: usize,
     epoch: u64,
+    /// When the zone was found last.
     found: Option<Ms>,
 }
 
-/// What is known of each zone.
+/// State of each zone.
 #[derive(Debug, Default)]
 pub(super) struct Zones {
     zones: BTreeMap<Name, Zone>,
-    /// Changes that were not logged yet.
+    /// Changes not logged yet.
     changes: Vec<ZoneState>,
 }
 
@@ -50,17 +50,17 @@
         }
     }
 
-    pub(super) fn joined(&mut self, zone: &Name) {
+    pub(super) fn add_member(&mut self, zone: &Name) {
         self.zones.entry(zone.clone()).or_default().members += 1;
     }
 
-    pub(super) fn left(&mut self, zone: &Name) {
+    pub(super) fn remove_member(&mut self, zone: &Name) {
         if let Some(it) = self.zones.get_mut(zone) {
             it.members -= 1;
         }
     }
 
-    /// Everything that was ever said of a zone.
+    /// Returns the states of all zones that were ever lost.
     pub(super) fn states(&self) -> Vec<ZoneState> {
         self.zones
             .keys()
@@ -69,8 +69,8 @@
             .collect()
     }
 
-    /// Logs what changed.
-    pub(super) fn log(&mut self, cx: &mut Context<'_>) {
+    /// Logs the changes since the last call.
+    pub(super) fn log_changes(&mut self, cx: &mut Context<'_>) {
         for it in self.changes.drain(..) {
             let state = match it.lost() {
                 true => "lost",
@@ -88,36 +88,36 @@
     fn may_be_lost(&self, now: Ms, zone: &Name, lost: usize) -> bool {
         self.zones.get(zone).is_some_and(|it| {
             let quiet = it.found.is_none_or(|at| now.since(at) >= HOLDOFF_MS);
-            quiet && it.epoch.is_multiple_of(2) && lost * LOSS_SHARE > it.members
+            quiet && it.epoch.is_multiple_of(2) && lost * LOSS_RATIO > it.members
         })
     }
 }
 
 impl Members {
-    pub(super) fn learn_zone(&mut self, now: Ms, state: &ZoneState) -> Learned {
+    pub(super) fn apply_zone(&mut self, now: Ms, state: &ZoneState) -> Applied {
         if state.epoch <= self.zones.state(&state.zone).epoch {
-            return Learned::Known;
+            return Applied::Unchanged;
         }
         if self.zones.zones.len() >= ZONES_MAX && !self.zones.zones.contains_key(&state.zone) {
-            return Learned::Known;
+            return Applied::Unchanged;
         }
-        // This node is a member of the zone, so the zone is there.
+        // This node is a member of the zone and running, so the zone is not lost.
         let refuted = state.lost() && state.zone == self.own.zone;
         let state = ZoneState {
             zone: self.intern(state.zone.clone()),
             epoch: state.epoch.saturating_add(u64::from(refuted)),
         };
         self.set_zone(now, &state);
-        let pace = match state.lost() {
-            true => Pace::Piggyback,
-            false => Pace::Origin,
+        let delivery = match state.lost() {
+            true => Delivery::Piggyback,
+            false => Delivery::Origin,
         };
-        self.queue.push(now, Update::Zone(state), pace);
-        Learned::New
+        self.queue.push(now, Update::Zone(state), delivery);
+        Applied::Changed
     }
 
-    /// Declares the zone of the suspect `id` lost if too much of it went at once.
-    pub(super) fn check_zone(&mut self, now: Ms, id: NodeId) {
+    /// Declares the zone of the suspect `id` lost if too many of its members were lost at once.
+    pub(super) fn check_zone_loss(&mut self, now: Ms, id: NodeId) {
         let Some(zone) = self.others.get(&id).map(|it| it.record.zone.clone()) else {
             return;
         };
@@ -131,7 +131,7 @@
             .count();
         if lost >= ZONE_LOSS_MIN && self.zones.may_be_lost(now, &zone, lost) {
             let epoch = self.zones.state(&zone).epoch + 1;
-            self.learn_zone(now, &ZoneState { zone, epoch });
+            self.apply_zone(now, &ZoneState { zone, epoch });
         }
     }
 
@@ -149,22 +149,22 @@
             true => Reach::Unreachable,
             false => Reach::Reachable,
         };
-        for id in self.of_zone(&state.zone) {
+        for id in self.members_in_zone(&state.zone) {
             self.set_reach(now, id, reach);
-            self.losses.forget(id);
+            self.losses.retract(id);
             if state.lost() {
-                self.forget_suspicion(id);
+                self.drop_suspicion(id);
             }
         }
         self.changed = true;
     }
 
-    /// The record of the zone says the same as the single suspicions of its members.
-    fn forget_suspicion(&mut self, id: NodeId) {
+    /// Removes the queued suspicion of `id`, which the state of its zone covers.
+    fn drop_suspicion(&mut self, id: NodeId) {
         self.queue.remove_suspicion(&Topic::Node(id));
     }
 
-    fn of_zone(&self, zone: &Name) -> Vec<NodeId> {
+    fn members_in_zone(&self, zone: &Name) -> Vec<NodeId> {
         self.others
             .values()
             .filter(|it| it.record.zone == *zone)
--- a/crates/kernel/tests/members.rs
+++ b/crates/kernel/tests/members.rs
@@ -6,7 +6,7 @@
 use laburnum_kernel::{
     Event,
     event::UpstreamEvent,
-    members::{LEASE_MS, Packet, Phase, Reach, TOMB_MS, Update, suspicion},
+    members::{LEASE_MS, Packet, Phase, Reach, TOMBSTONE_TTL_MS, Update, suspicion_timeout_ms},
     platform::{TableAnswer, TableOp},
 };
 use test_case::test_case;
@@ -99,7 +99,7 @@
 fn a_dead_node_is_suspected_then_removed_everywhere() {
     let mut net = Net::settled(6, &ZONES);
     net.kill(5);
-    net.run(12_000 + 2 * suspicion(12) + 4_000);
+    net.run(12_000 + 2 * suspicion_timeout_ms(12) + 4_000);
     assert_eq!(net.phases(5), [None].into());
 }
 
@@ -114,10 +114,10 @@
     net.logs.clear();
     net.resume(3);
     net.step(id(3), Event::Tick);
-    assert!(!net.node(3).state().members.trusted());
+    assert!(!net.node(3).state().members.is_fresh());
     assert_eq!(net.node(3).state().members.alive().count(), ZONES.len());
     net.run(30_000);
-    assert!(net.node(3).state().members.trusted());
+    assert!(net.node(3).state().members.is_fresh());
     assert!(net.converged());
     assert!(
         !net.logs
@@ -227,7 +227,7 @@
         assert!(!back, "node 6 came back at {:?}", net.now);
     }
     assert!(net.record(1, 6).is_none());
-    net.run(TOMB_MS);
+    net.run(TOMBSTONE_TTL_MS);
     assert_eq!(net.phases(6), [None].into());
 }
 
