--- a/crates/kernel/src/spread.rs
+++ b/crates/kernel/src/spread.rs
@@ -1,8 +1,8 @@
-//! Spread: accepted configuration on its way to every node.
+//! Distribution of accepted configuration to every node.
 //!
-//! A few relays in each availability zone learn of new log entries from the committer or the table and
-//! push them down a tree of bounded degree; every node compares its position with a random peer's now
-//! and then and fetches what it lacks. `docs/design/spread.md` tells why.
+//! A few relays in each availability zone get new log entries from the committer or the table and push
+//! them down a tree of bounded degree. Every node compares its position with a random peer's at
+//! intervals and pulls what it lacks. See `docs/design/spread.md`.
 
 pub mod catchup;
 pub mod history;
@@ -41,26 +41,27 @@
 
 inventory::submit! { Plugin { name: "spread", order: 30, scope: Scope::Submitted, handle } }
 
-/// Between nodes that spread configuration.
+/// Messages between nodes that distribute configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// News on its way down the tree below `root`.
+    /// New entries, pushed down the tree below `root`.
     Push { root: NodeId, range: Range },
-    /// I hold the log up to `seq`: send what follows.
+    /// Asks for what follows `seq`, up to which the sender holds the log.
     Pull { seq: Seq, want: Want },
     /// Answers [`Message::Pull`].
     Fill { range: Range },
-    /// Where I am; a question asks the receiver to tell the same.
+    /// The sender's position. A question asks the receiver for its own.
     Compare { standing: Standing, turn: Turn },
     /// One part of an answer to [`Message::Pull`] that is too long for one message.
     Part { idx: u32, of: u32, bytes: Vec<u8> },
-    /// Send this part next.
+    /// Asks for this part.
     Next { idx: u32 },
-    /// Too busy to answer [`Message::Pull`]: ask somebody else, or again after this many ms.
+    /// Too busy to answer [`Message::Pull`]. The receiver may ask another peer, or retry after this
+    /// many ms.
     Refused { after: u64 },
-    /// What the sender and the nodes that report to it hold.
+    /// Positions of the sender and of the nodes that report to it.
     Report { summary: Summary },
-    /// Tell me what every zone reported.
+    /// Asks for the reports of every zone.
     Ask { number: u64 },
     /// Answers [`Message::Ask`].
     Told { number: u64, summary: Summary },
@@ -68,16 +69,17 @@
     Proposed { seq: Seq },
 }
 
-/// What a node holds.
+/// Position of a node and the digest of its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
     /// Last batch applied.
     pub seq: Seq,
-    /// Digest of its whole configuration.
+    /// Digest of the node's whole configuration.
     pub digest: u64,
-    /// Whether it has caught up since it started.
+    /// Whether the node has caught up since it started.
     pub ready: bool,
-    /// Highest position that the receiver, or the process that it replaces, was about to commit.
+    /// Highest position that the receiver, or the process that it replaces, was about to commit, as
+    /// far as the sender knows.
     pub proposed: Seq,
 }
 
@@ -88,57 +90,57 @@
     Answer,
 }
 
-/// The form in which a node wants what it lacks.
+/// Form in which a node wants the changes that it lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Want {
     /// Deltas where possible.
     #[default]
     Delta,
-    /// Full texts of what changed.
+    /// Full texts of changed services.
     Full,
-    /// Every service, whatever the asker holds.
+    /// Every service, whatever the requester holds.
     Whole,
 }
 
-/// What a message is sent for; bytes are counted by it.
+/// Purpose of a message, by which bytes are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// Down the tree.
+    /// Pushes down the trees, and proposals.
     Push,
-    /// Comparisons, pulls and their short answers.
+    /// Comparisons, pulls and refusals.
     Repair,
-    /// Long answers to nodes that lag far behind.
+    /// Answers to pulls.
     CatchUp,
-    /// Who holds what.
+    /// Status reports and queries.
     Report,
 }
 
-/// Counters since the process started, and present queue lengths.
+/// Counters since the process started, and current queue lengths.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Bytes of messages sent, without the link's own.
+    /// Bytes of messages sent, without the link's overhead.
     pub sent: BTreeMap<Kind, u64>,
     /// Messages sent.
     pub messages: BTreeMap<Kind, u64>,
-    /// Catch-ups served to the end.
+    /// Catch-ups served completely.
     pub served: u64,
-    /// Catch-ups refused because too many were being served.
+    /// Catch-ups refused because too many were being served or the budget was spent.
     pub refused: u64,
-    /// Catch-ups being served.
+    /// Catch-ups in progress.
     pub serving: usize,
-    /// Pushes held back because the budget was spent.
+    /// Pushes delayed because the budget was spent.
     pub delayed: u64,
-    /// Pushes waiting to leave.
+    /// Pushes waiting to be sent.
     pub queued: usize,
-    /// Ranges whose base text or digest did not fit.
+    /// Ranges that failed to decode or whose base text or digest didn't match.
     pub mismatches: u64,
     /// Pulls that got no answer or a refusal.
     pub failures: u64,
-    /// Whether this node is a relay of its zone at present.
+    /// Whether this node is currently a relay of its zone.
     pub relay: bool,
 }
 
-/// Configuration on its way.
+/// State of the distribution of configuration.
 #[derive(Debug)]
 pub struct Spread {
     history: History,
@@ -150,13 +152,15 @@
     proposals: Proposals,
     slots: Slots,
     reports: Reports,
-    paced: Bucket,
+    /// Byte budget for all messages but catch-ups.
+    control: Bucket,
+    /// Byte budget for catch-ups.
     catchup: Bucket,
     stats: Stats,
 }
 
 impl Spread {
-    /// Holds nothing and is not ready.
+    /// Creates an empty state that is not ready.
     pub fn new(settings: &Settings) -> Spread {
         Spread {
             history: History::default(),
@@ -168,31 +172,32 @@
             proposals: Proposals::default(),
             slots: Slots::new(),
             reports: Reports::default(),
-            paced: Bucket::new(settings.spread.budget),
+            control: Bucket::new(settings.spread.budget),
             catchup: Bucket::new(settings.spread.catchup),
             stats: Stats::default(),
         }
     }
 
-    /// Whether this process has reached the highest position heard from several peers or the table.
+    /// Returns whether this process has reached the highest position that several peers or the table
+    /// reported.
     ///
-    /// Before that it may hold less than the process that it replaced: were it to serve, a restart would
-    /// be a step back to older configuration.
+    /// Before that it may hold less than the process that it replaced, and serving would be a step back
+    /// to older configuration.
     pub fn ready(&self) -> bool {
         matches!(self.start, Start::Ready)
     }
 
-    /// The highest position heard of.
+    /// Returns the highest known position, whether held or only reported by others.
     pub fn heard(&self) -> Seq {
         self.repair.heard().max(self.history.seq())
     }
 
-    /// Digest of the configuration held.
+    /// Returns the digest of the configuration held.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Counters and queue lengths.
+    /// Returns counters and queue lengths.
     pub fn stats(&self) -> Stats {
         Stats {
             serving: self.slots.len(),
@@ -206,32 +211,32 @@
             seq: self.history.seq(),
             digest: self.digest,
             ready: self.ready(),
-            proposed: self.proposals.of(to),
+            proposed: self.proposals.position(to),
         }
     }
 }
 
-/// Tells the plug-in that `from` holds the log up to `seq`, as learned from any message.
-pub fn hear(cx: &mut Context<'_>, state: &mut State, from: NodeId, seq: Seq) {
-    repair::hear(cx, state, from, seq);
+/// Notes that `from` holds the log up to `seq`, as any message may report.
+pub fn note_position(cx: &mut Context<'_>, state: &mut State, from: NodeId, seq: Seq) {
+    repair::note_position(cx, state, from, seq);
 }
 
 fn handle(cx: &mut Context<'_>, state: &mut State, event: &Event) {
-    follow(cx, state);
+    follow_log(cx, state);
     match event {
         Event::Start => readiness::start(cx, state),
         Event::Message {
             from,
             message: event::Message::Spread(message),
-        } => received(cx, state, *from, message),
-        Event::Table { call, answer } => relay::answered(cx, state, *call, answer),
-        Event::Notice(Notice::Proposed { seq }) => witness::proposed(cx, state, *seq),
-        Event::Notice(Notice::Accepted { seq }) => relay::accepted(cx, state, *seq),
+        } => handle_message(cx, state, *from, message),
+        Event::Table { call, answer } => relay::handle_table_answer(cx, state, *call, answer),
+        Event::Notice(Notice::Proposed { seq }) => witness::notify_witnesses(cx, state, *seq),
+        Event::Notice(Notice::Accepted { seq }) => relay::push_committed(cx, state, *seq),
         Event::Notice(Notice::Members) => state.spread.trees.clear(),
         Event::Call {
             token,
             call: event::Call::Status,
-        } => status::ask(cx, state, *token),
+        } => status::query(cx, state, *token),
         Event::Tick => {
             readiness::tick(cx, state);
             catchup::serve_parts(cx, state);
@@ -244,46 +249,56 @@
     relay::flush(cx, state);
 }
 
-fn received(cx: &mut Context<'_>, state: &mut State, from: NodeId, message: &Message) {
+fn handle_message(cx: &mut Context<'_>, state: &mut State, from: NodeId, message: &Message) {
     match message {
         Message::Push { root, range } => {
-            take(cx, state, from, range, Accepts::Newer);
-            relay::pushed(cx, state, *root, range);
+            apply_range(cx, state, from, range, Accepts::Newer);
+            relay::forward_push(cx, state, *root, range);
         }
-        Message::Fill { range } => repair::filled(cx, state, from, range),
-        Message::Pull { seq, want } => catchup::serve(cx, state, from, *seq, *want),
-        Message::Compare { standing, turn } => repair::compared(cx, state, from, standing, *turn),
-        Message::Part { idx, of, bytes } => repair::part(cx, state, from, (*idx, *of), bytes),
-        Message::Next { idx } => catchup::next(cx, state, from, *idx),
-        Message::Refused { after } => repair::refused(cx, state, from, *after),
-        Message::Report { summary } => status::reported(cx, state, from, summary),
-        Message::Ask { number } => status::asked(cx, state, from, *number),
-        Message::Told { number, summary } => status::told(cx, state, *number, summary),
-        Message::Proposed { seq } => witness::told(state, from, *seq),
+        Message::Fill { range } => repair::handle_fill(cx, state, from, range),
+        Message::Pull { seq, want } => catchup::serve_pull(cx, state, from, *seq, *want),
+        Message::Compare { standing, turn } => {
+            repair::handle_compare(cx, state, from, standing, *turn)
+        }
+        Message::Part { idx, of, bytes } => {
+            repair::handle_part(cx, state, from, (*idx, *of), bytes)
+        }
+        Message::Next { idx } => catchup::handle_next(cx, state, from, *idx),
+        Message::Refused { after } => repair::handle_refusal(cx, state, from, *after),
+        Message::Report { summary } => status::handle_report(cx, state, from, summary),
+        Message::Ask { number } => status::handle_ask(cx, state, from, *number),
+        Message::Told { number, summary } => status::handle_told(cx, state, *number, summary),
+        Message::Proposed { seq } => witness::record_proposal(state, from, *seq),
     }
 }
 
-/// Applies a range that a peer sent, or sees to it that what it needs is fetched.
-fn take(cx: &mut Context<'_>, state: &mut State, from: NodeId, range: &Range, accepts: Accepts) {
+/// Applies a range that a peer sent, or schedules a pull if that fails.
+fn apply_range(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    from: NodeId,
+    range: &Range,
+    accepts: Accepts,
+) {
     let State { spread, log, .. } = state;
     match spread.history.apply(log, range, accepts) {
         Ok(()) => {
-            follow(cx, state);
+            follow_log(cx, state);
             cx.raise(Notice::Applied { seq: range.to });
         }
         Err(Refusal::Old) => {}
-        Err(refusal) => repair::lacking(cx, state, from, range, refusal),
+        Err(refusal) => repair::handle_refused_range(cx, state, from, range, refusal),
     }
 }
 
-/// Takes note of whatever the log applied.
-fn follow(cx: &mut Context<'_>, state: &mut State) {
+/// Records the batches that the log applied since the last call.
+fn follow_log(cx: &mut Context<'_>, state: &mut State) {
     let State { spread, log, .. } = state;
     let digest = log.digest();
     if digest != spread.digest {
         spread.digest = digest;
         spread.history.follow(log);
-        repair::advanced(cx, state);
+        repair::handle_progress(cx, state);
     }
 }
 
@@ -296,12 +311,12 @@
     *spread.stats.messages.entry(kind).or_default() += 1;
     match kind {
         Kind::CatchUp => spread.catchup.spend(cx.now, bytes),
-        Kind::Push | Kind::Repair | Kind::Report => spread.paced.spend(cx.now, bytes),
+        Kind::Push | Kind::Repair | Kind::Report => spread.control.spend(cx.now, bytes),
     }
     cx.send(to, message);
 }
 
-/// Bytes of a message on the wire, without the link's own.
+/// Returns the bytes of a message on the wire, without the link's overhead.
 fn size(message: &event::Message) -> usize {
     postcard::experimental::serialized_size(message).expect("a message encodes")
 }
--- a/crates/kernel/src/spread/catchup.rs
+++ b/crates/kernel/src/spread/catchup.rs
@@ -1,8 +1,9 @@
-//! Serving nodes that lack something: one message where that is enough, else parts at the asker's pace.
+//! Answers to pulls: one message if the range fits, otherwise parts that the requester asks for one by
+//! one.
 
 use std::collections::BTreeMap;
 
-use super::{Kind, Message, Want, repair::announce, send, size, wire::RANGE_MAX};
+use super::{Kind, Message, Want, repair::send_standing, send, size, wire::RANGE_MAX};
 use crate::{
     clock::Ms,
     event,
@@ -11,28 +12,30 @@
     settings::SpreadForm,
 };
 
-/// A catch-up whose asker stays silent for this long is given up, in ms.
-const SLOT_MS: u64 = 10_000;
+/// Time in ms without a request after which a catch-up is dropped.
+const SLOT_TIMEOUT_MS: u64 = 10_000;
 
-/// Time after which a refused asker may come back, for each catch-up under way, in ms.
+/// Time in ms per catch-up in progress after which a refused requester may retry.
 const SLOT_WAIT_MS: u64 = 500;
 
-/// Most bytes of one part. Well below a frame, so that a paced asker hears something every few seconds.
+/// Most bytes of one part. Well below a frame, so that the requester receives a part every few seconds
+/// even at a low rate.
 const PART_MAX: usize = 16 * 1024;
 
-/// Catch-ups being served.
+/// Catch-ups in progress, by requester.
 pub type Slots = BTreeMap<NodeId, Slot>;
 
-/// A catch-up being served: an encoded range in parts.
+/// A catch-up in progress: an encoded range, sent in parts.
 #[derive(Debug)]
 pub struct Slot {
     blob: Vec<u8>,
     used: Ms,
+    /// Part to send next, if one was asked for.
     asked: Option<u32>,
 }
 
-/// A peer asks for what it lacks.
-pub fn serve(cx: &mut Context<'_>, state: &mut State, from: NodeId, seq: Seq, want: Want) {
+/// Answers a pull of a peer.
+pub fn serve_pull(cx: &mut Context<'_>, state: &mut State, from: NodeId, seq: Seq, want: Want) {
     let form = match want {
         Want::Delta => cx.settings.spread.form,
         Want::Full | Want::Whole => SpreadForm::Full,
@@ -46,7 +49,7 @@
         false => None,
     };
     let Some(range) = range else {
-        return announce(cx, state, from);
+        return send_standing(cx, state, from);
     };
     let blob = postcard::to_stdvec(&range).expect("a range encodes");
     if blob.len() > RANGE_MAX {
@@ -60,8 +63,8 @@
     }
 }
 
-/// A peer wants the next part of its catch-up.
-pub fn next(cx: &mut Context<'_>, state: &mut State, from: NodeId, idx: u32) {
+/// Handles the request for the next part of a catch-up.
+pub fn handle_next(cx: &mut Context<'_>, state: &mut State, from: NodeId, idx: u32) {
     match state.spread.slots.get_mut(&from) {
         Some(slot) => {
             slot.asked = Some(idx);
@@ -93,10 +96,10 @@
     send(cx, state, Kind::Repair, from, Message::Refused { after });
 }
 
-/// Sends the parts that were asked for, as far as the allowance for catch-ups goes.
+/// Sends the requested parts, as far as the budget for catch-ups allows.
 pub fn serve_parts(cx: &mut Context<'_>, state: &mut State) {
     let slots = &mut state.spread.slots;
-    slots.retain(|_, it| cx.now.since(it.used) <= SLOT_MS);
+    slots.retain(|_, it| cx.now.since(it.used) <= SLOT_TIMEOUT_MS);
     let asked = slots.iter().filter_map(|(to, it)| Some((*to, it.asked?)));
     let asked: Vec<(NodeId, u32)> = asked.collect();
     for (to, idx) in asked {
--- a/crates/kernel/src/spread/history.rs
+++ b/crates/kernel/src/spread/history.rs
@@ -1,4 +1,4 @@
-//! Making ranges from the log and recent texts, and turning ranges back into steps of the log.
+//! Builds ranges from the log and recently replaced texts, and applies received ranges to the log.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -14,37 +14,39 @@
 };
 
 /// Most bytes of replaced texts kept as bases of deltas.
-const PAST_MAX: usize = 1024 * 1024;
+const REPLACED_MAX: usize = 1024 * 1024;
 
-/// Most deletions remembered; peers that lag behind the oldest are sent the whole state.
+/// Most deletions kept; peers that lag behind the oldest are sent the whole state.
 const DELETED_MAX: usize = 4096;
 
-/// Ranges kept packed: a push that waits for the budget and a herd that catches up ask for the same again.
+/// Packed ranges kept, since delayed pushes and nodes that catch up together need the same range again.
 const PACKED_MAX: usize = 4;
 
-/// Most submission ids in a range, the newest. The base revision of an older submission has passed.
+/// Most submission ids in a range, the newest. Older submissions are rejected by their base revision.
 const IDS_MAX: usize = 256;
 
-/// Texts and services that were replaced or deleted lately.
+/// Recently replaced texts and deleted services.
 ///
-/// A service's revision is the position of the log that made it, so what changed after a position can be
-/// told from the log's newest versions alone; only deltas need the texts before.
+/// A service's revision is the position of the log that made it, so the changes after a position follow
+/// from the log's latest versions. Only deltas need the replaced texts.
 #[derive(Debug, Default)]
 pub struct History {
     seq: Seq,
     held: BTreeMap<Name, (Revision, Arc<str>)>,
-    past: VecDeque<Past>,
-    past_bytes: usize,
+    replaced: VecDeque<ReplacedText>,
+    replaced_bytes: usize,
     deleted: VecDeque<(Seq, Name)>,
+    /// Position below which deletions are unknown.
     floor: Seq,
     packed: VecDeque<(SpreadForm, Range)>,
 }
 
-/// A text that was replaced.
+/// A text that was replaced or deleted.
 #[derive(Debug)]
-struct Past {
+struct ReplacedText {
     service: Name,
     made: Seq,
+    /// Position that replaced it.
     until: Seq,
     text: Arc<str>,
 }
@@ -52,41 +54,41 @@
 /// Why a range was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The log already reaches its end.
+    /// The log already reaches the end of the range.
     Old,
-    /// Changes before its start are missing.
+    /// The log doesn't reach the start of the range.
     Gap,
-    /// The base of a delta is not held: ask for full texts.
+    /// The base of a delta is missing; full texts are needed.
     Base,
-    /// The result's digest is not the sender's: ask for the whole state.
+    /// The digest of the result differs from the sender's; the whole state is needed.
     Digest,
-    /// It does not decode.
+    /// The range doesn't decode.
     Bad,
 }
 
 /// Which ranges are applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accepts {
-    /// Those that lead further.
+    /// Ranges that end after the current position.
     Newer,
-    /// Also the whole state at the present position, in place of one that peers contradict.
+    /// Also the whole state at the current position, to replace one that peers contradict.
     Same,
 }
 
 impl History {
-    /// The position that it stands for.
+    /// Returns the position of the log that was recorded last.
     pub fn seq(&self) -> Seq {
         self.seq
     }
 
-    /// Peers that hold less than this need the whole state.
+    /// Returns the position below which peers need the whole state.
     pub fn floor(&self) -> Seq {
         self.floor
     }
 
-    /// Remembers what `log` replaced since the last call.
+    /// Records what `log` replaced or deleted since the last call.
     pub fn follow(&mut self, log: &Log) {
-        // The first state has no past: which services were deleted before is not known.
+        // Deletions before the first state are unknown.
         if self.seq == Seq(0) && log.seq().0 > 1 {
             self.floor = log.seq();
         }
@@ -103,7 +105,7 @@
             .collect();
         for service in replaced {
             let until = log.latest().get(&service).map(|it| Seq(it.revision.0));
-            self.forget(service, until);
+            self.retire(service, until);
         }
         for (service, it) in log.latest() {
             if !self.held.contains_key(service) {
@@ -114,7 +116,7 @@
         }
     }
 
-    /// The net change after `from`, or nothing if `from` is ahead of the log.
+    /// Returns the net change after `from`, or `None` if `from` is ahead of the log.
     pub fn range(&mut self, log: &Log, from: Seq, form: SpreadForm) -> Option<Range> {
         if from > self.seq {
             return None;
@@ -142,7 +144,7 @@
         let body = match form {
             SpreadForm::Full => full,
             SpreadForm::Delta => {
-                // Many short texts that resemble one another compress better together than their deltas.
+                // Many short, similar texts compress better together than as deltas.
                 let deltas = wire::pack(&self.changes(log, from, SpreadForm::Delta));
                 std::cmp::min_by_key(deltas, full, Vec::len)
             }
@@ -174,7 +176,7 @@
         deleted.chain(newer).collect()
     }
 
-    /// Applies a range whole or not at all.
+    /// Applies a range completely or not at all.
     pub fn apply(&self, log: &mut Log, range: &Range, accepts: Accepts) -> Result<(), Refusal> {
         match accepts {
             Accepts::Newer if range.to <= log.seq() => return Err(Refusal::Old),
@@ -184,8 +186,8 @@
         }
         let mut changes = BTreeMap::new();
         if range.from == Seq(0) {
-            let lost = log.latest().keys();
-            changes.extend(lost.map(|it| (it.clone(), deletion(it, range.to))));
+            let held = log.latest().keys();
+            changes.extend(held.map(|it| (it.clone(), deletion(it, range.to))));
         }
         for it in wire::unpack(&range.body).map_err(|_| Refusal::Bad)? {
             if let Some(change) = self.change(log, &it, range)? {
@@ -202,7 +204,7 @@
     }
 
     fn change(&self, log: &Log, net: &NetChange, range: &Range) -> Result<Option<Change>, Refusal> {
-        // This node may be further along than the range's start and hold the change already.
+        // This node may be past the start of the range and hold the change already.
         let known = log.latest().get(&net.service);
         if range.from != Seq(0) && known.is_some_and(|it| it.revision >= net.revision) {
             return Ok(None);
@@ -220,17 +222,21 @@
     }
 
     fn base(&self, service: &Name, known: Option<&Latest>, hash: u32) -> Option<Arc<str>> {
-        let past = self.past.iter().rev().filter(|it| it.service == *service);
+        let replaced = self
+            .replaced
+            .iter()
+            .rev()
+            .filter(|it| it.service == *service);
         let known = known.into_iter().map(|it| &it.text);
         known
-            .chain(past.map(|it| &it.text))
+            .chain(replaced.map(|it| &it.text))
             .find(|it| wire::text_hash(it) == hash)
             .cloned()
     }
 
     fn form(&self, service: &Name, latest: &Latest, from: Seq, form: SpreadForm) -> Form {
         let base = self
-            .past
+            .replaced
             .iter()
             .find(|it| it.service == *service && it.made <= from && it.until > from);
         match (form, base) {
@@ -239,25 +245,25 @@
         }
     }
 
-    /// Moves a service's text to the past; without a position of its successor it was deleted.
-    fn forget(&mut self, service: Name, until: Option<Seq>) {
+    /// Moves a service's text to the replaced ones. It was deleted unless `until` is given.
+    fn retire(&mut self, service: Name, until: Option<Seq>) {
         let Some((revision, text)) = self.held.remove(&service) else {
             return;
         };
         if until.is_none() {
             self.deleted.push_back((self.seq, service.clone()));
         }
-        self.past_bytes += text.len();
-        self.past.push_back(Past {
+        self.replaced_bytes += text.len();
+        self.replaced.push_back(ReplacedText {
             service,
             made: Seq(revision.0),
             until: until.unwrap_or(self.seq),
             text,
         });
-        while self.past_bytes > PAST_MAX
-            && let Some(it) = self.past.pop_front()
+        while self.replaced_bytes > REPLACED_MAX
+            && let Some(it) = self.replaced.pop_front()
         {
-            self.past_bytes -= it.text.len();
+            self.replaced_bytes -= it.text.len();
         }
         if self.deleted.len() > DELETED_MAX
             && let Some((seq, _)) = self.deleted.pop_front()
@@ -296,7 +302,7 @@
     change(&net, Edit::Delete)
 }
 
-/// The change as the log takes it. Reasons and times don't travel: the table's log rows hold them.
+/// Converts a net change for the log. Reasons and times aren't sent; the table's log rows hold them.
 fn change(net: &NetChange, edit: Edit) -> Change {
     Change {
         id: SubmitId(0),
--- a/crates/kernel/src/spread/pacing.rs
+++ b/crates/kernel/src/spread/pacing.rs
@@ -1,46 +1,48 @@
-//! Pacing: how many control bytes may leave, averaged over a minute.
+//! Rate limit for control bytes, averaged over a minute.
 
 use crate::clock::Ms;
 
 /// A token bucket that holds a minute's worth of its rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
+    /// Bytes per second.
     rate: u64,
-    /// Thousandths of a byte, so that short times at low rates are not rounded away; below zero in debt.
+    /// Thousandths of a byte, so that short times at low rates are not rounded to zero. Negative after
+    /// an overdraft.
     level: i64,
-    at: Ms,
+    refilled: Ms,
 }
 
-/// Seconds over which the rate is an average.
+/// Time in seconds over which the rate is averaged.
 const AVERAGE_S: u64 = 60;
 
 impl Bucket {
-    /// A full bucket that refills at `rate` bytes a second.
+    /// Creates a full bucket that refills at `rate` bytes per second.
     pub fn new(rate: u64) -> Bucket {
         Bucket {
             rate,
             level: full(rate),
-            at: Ms(0),
+            refilled: Ms(0),
         }
     }
 
-    /// Whether `bytes` may leave now. More than a full bucket may leave when it is full.
+    /// Returns whether `bytes` may be sent now. A full bucket allows any number of bytes.
     pub fn allows(&mut self, now: Ms, bytes: usize) -> bool {
         self.refill(now);
         self.level >= thousandths(bytes).min(full(self.rate))
     }
 
-    /// Counts `bytes` that left.
+    /// Takes `bytes` that were sent out of the bucket.
     pub fn spend(&mut self, now: Ms, bytes: usize) {
         self.refill(now);
         self.level = self.level.saturating_sub(thousandths(bytes));
     }
 
     fn refill(&mut self, now: Ms) {
-        let gained = now.since(self.at).saturating_mul(self.rate);
+        let gained = now.since(self.refilled).saturating_mul(self.rate);
         let gained = i64::try_from(gained).unwrap_or(i64::MAX);
         self.level = self.level.saturating_add(gained).min(full(self.rate));
-        self.at = self.at.max(now);
+        self.refilled = self.refilled.max(now);
     }
 }
 
--- a/crates/kernel/src/spread/readiness.rs
+++ b/crates/kernel/src/spread/readiness.rs
@@ -1,4 +1,4 @@
-//! Readiness: a new process doesn't serve before it has caught up.
+//! Readiness: a new process doesn't serve before it has caught up with its peers or the table.
 
 use std::collections::BTreeSet;
 
@@ -13,46 +13,44 @@
     settings::SpreadMode,
 };
 
-/// Peers that have to confirm a position before a new node counts as caught up.
-const VOTES: usize = 3;
+/// Ready peers that must report their position before a new node counts as caught up.
+const CONFIRMATIONS: usize = 3;
 
-/// Time between two questions of a node that is not ready, in ms.
-const ASK_MS: u64 = 200;
+/// Base time between two comparisons of a node that is not ready, in ms.
+const COMPARE_MS: u64 = 200;
 
-/// How long a new node asks peers only; then it also reads the table, at a random moment.
+/// Least time in ms that a new node asks only peers. It reads the table at a random time after that.
 const PEERS_ONLY_MS: u64 = 4_000;
 
-/// A relay that is not ready waits this part of the time that others wait: 1 to 2 s.
-const RELAY_PART: u64 = 4;
+/// A relay that is not ready reads the table after the time of other nodes divided by this.
+const RELAY_DIVISOR: u64 = 4;
 
-/// How far a new process is with catching up.
+/// Progress of a new process with catching up.
 #[derive(Debug)]
 pub enum Start {
-    /// It may hold less than others do.
+    /// The process may hold less than its peers.
     New {
-        /// When it begins to read the table.
+        /// Time from which the process reads the table.
         table_at: Ms,
-        /// When it begins to, if it is a relay.
+        /// The same if it is a relay.
         relay_at: Ms,
-        /// Peers that are ready and told their position.
-        votes: BTreeSet<NodeId>,
-        /// Peers that told anything, ready or not.
-        told: BTreeSet<NodeId>,
-        /// Highest position that the process before this one was about to commit, as far as told.
+        /// Ready peers that reported their position.
+        confirmations: BTreeSet<NodeId>,
+        /// Peers that reported their position, ready or not.
+        answered: BTreeSet<NodeId>,
+        /// Highest position that the process before this one was about to commit, as reported by
+        /// witnesses.
         proposed: Seq,
-        /// Whether the table told its own position.
         table: Table,
     },
-    /// It reached all that was heard of.
+    /// The process reached the highest position reported.
     Ready,
 }
 
 /// Whether the table's head was read since the process started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Table {
-    /// Not yet.
     Unread,
-    /// At least once.
     Read,
 }
 
@@ -61,20 +59,20 @@
         Start::New {
             table_at: Ms(0),
             relay_at: Ms(0),
-            votes: BTreeSet::new(),
-            told: BTreeSet::new(),
+            confirmations: BTreeSet::new(),
+            answered: BTreeSet::new(),
             proposed: Seq::default(),
             table: Table::Unread,
         }
     }
 }
 
-/// Sets the moment from which a node without news from peers reads the table.
+/// Sets the time from which a node that is not ready reads the table.
 pub fn start(cx: &mut Context<'_>, state: &mut State) {
     let alone = cx.settings.peers.is_empty();
     let wait = match (alone, cx.settings.spread.mode) {
         (true, _) | (_, SpreadMode::Poll) => 0,
-        // A herd that starts together reads the table spread over this long, not at once.
+        // Random, so that nodes that start together don't all read the table at once.
         (false, SpreadMode::Relays) => cx.rng.random_range(PEERS_ONLY_MS..=2 * PEERS_ONLY_MS),
     };
     if let Start::New {
@@ -82,16 +80,15 @@
     } = &mut state.spread.start
     {
         *table_at = cx.now + wait;
-        *relay_at = cx.now + wait / RELAY_PART;
+        *relay_at = cx.now + wait / RELAY_DIVISOR;
     }
 }
 
-/// Whether a relay may read the table.
+/// Returns whether a relay may read the table.
 ///
-/// A process that has just started knows few members, and so seems to be a relay of its zone. If it read at
-/// once, every node of a herd would read the whole log from the table although its peers hold it. After a second
-/// it knows its zone, and its peers have mostly made it ready. Where all of a fleet starts anew, the true relays
-/// still read some seconds before the others would.
+/// A process that has just started knows few members and so takes itself for a relay of its zone. The
+/// delay keeps a fleet that starts together from reading the whole log from the table on every node.
+/// Relays still read some seconds before other nodes.
 pub fn relay_may_read(cx: &Context<'_>, state: &State) -> bool {
     match &state.spread.start {
         Start::New { relay_at, .. } => cx.now >= *relay_at,
@@ -99,34 +96,36 @@
     }
 }
 
-/// A peer that is itself not ready has nothing to vouch for: a herd that starts together would agree on
-/// an empty configuration and serve it.
-pub fn vote(state: &mut State, from: NodeId, standing: &Standing) {
+/// Records the position that a peer reported.
+///
+/// Only ready peers count as a confirmation. Otherwise a fleet that starts together would agree on an
+/// empty configuration and serve it.
+pub fn record_standing(state: &mut State, from: NodeId, standing: &Standing) {
     let Start::New {
-        votes,
-        told,
+        confirmations,
+        answered,
         proposed,
         ..
     } = &mut state.spread.start
     else {
         return;
     };
-    told.insert(from);
+    answered.insert(from);
     *proposed = standing.proposed.max(*proposed);
     if standing.ready {
-        votes.insert(from);
+        confirmations.insert(from);
     }
 }
 
-/// The table's head is at `seq`.
-pub fn table_head(state: &mut State, seq: Seq) {
-    repair::hear_table(state, seq);
+/// Records that the table's head is at `seq`.
+pub fn record_table_head(state: &mut State, seq: Seq) {
+    repair::note_table_position(state, seq);
     if let Start::New { table, .. } = &mut state.spread.start {
         *table = Table::Read;
     }
 }
 
-/// Asks around until enough peers, or the table, confirmed what this process has reached.
+/// Compares with peers and reads the table until either confirms the position of this process.
 pub fn tick(cx: &mut Context<'_>, state: &mut State) {
     let Start::New {
         table_at, table, ..
@@ -135,28 +134,27 @@
         return;
     };
     let seq = state.spread.history.seq();
-    let confirmed = table == Table::Read || vouched(cx, state);
+    let confirmed = table == Table::Read || is_confirmed_by_peers(cx, state);
     if confirmed && seq >= state.spread.heard() {
         state.spread.start = Start::Ready;
         cx.log("spread-ready", vec![("seq", seq.to_string())]);
         return cx.raise(Notice::Ready);
     }
     if cx.now >= table_at && table == Table::Unread {
-        relay::retry_head(cx, state);
+        relay::read_head_if_due(cx, state);
     }
-    let soon = cx.rng.random_range(ASK_MS / 2..=2 * ASK_MS);
+    let soon = cx.rng.random_range(COMPARE_MS / 2..=2 * COMPARE_MS);
     repair::compare_by(cx, state, soon);
 }
 
-/// Whether peers confirmed this process's position without the table.
+/// Returns whether peers confirmed the position of this process without the table.
 ///
-/// Any peers can tell what has spread. What the process before this one was about to commit is known to its
-/// witnesses only, so most of them have to be among those who told; a witness that was itself restarted has
-/// nothing to tell and isn't waited for.
-fn vouched(cx: &Context<'_>, state: &State) -> bool {
+/// Any peer knows the positions that were distributed. Only the witnesses know the position that the
+/// process before this one was about to commit, so most of them must have answered as well.
+fn is_confirmed_by_peers(cx: &Context<'_>, state: &State) -> bool {
     let Start::New {
-        votes,
-        told,
+        confirmations,
+        answered,
         proposed,
         ..
     } = &state.spread.start
@@ -165,11 +163,14 @@
     };
     let own = cx.settings.node;
     let others = state.members.alive().filter(|it| it.id != own).count();
-    if others == 0 || votes.len() < VOTES.min(others) || state.spread.history.seq() < *proposed {
+    if others == 0
+        || confirmations.len() < CONFIRMATIONS.min(others)
+        || state.spread.history.seq() < *proposed
+    {
         return false;
     }
-    // Ranks every member, so only once all else holds.
-    let witnesses = witness::of(state, own);
-    let heard = witnesses.iter().filter(|it| told.contains(it)).count();
-    heard >= witness::QUORUM.min(witnesses.len())
+    // Checked last, because it ranks every member.
+    let witnesses = witness::witnesses_of(state, own);
+    let count = witnesses.iter().filter(|it| answered.contains(it)).count();
+    count >= witness::REQUIRED.min(witnesses.len())
 }
--- a/crates/kernel/src/spread/relay.rs
+++ b/crates/kernel/src/spread/relay.rs
@@ -1,4 +1,4 @@
-//! Relays: they learn of news from the committer or the table and push it down their zone's trees.
+//! Relays, which get new entries from the committer or the table and push them down their zone's trees.
 
 use std::collections::BTreeMap;
 
@@ -22,38 +22,40 @@
 /// Mean time between two reads of the table's head by a relay, in ms.
 pub const POLL_MS: u64 = 1_000;
 
-/// Longest wait between two reads while the table fails, in ms.
+/// Longest back-off between two reads while the table fails, in ms.
 const POLL_MAX_MS: u64 = 8_000;
 
-/// A read that is not answered for this long is given up, in ms.
-const ANSWER_MS: u64 = 5_000;
+/// Timeout of a read of the table, in ms.
+const READ_TIMEOUT_MS: u64 = 5_000;
 
 /// A node that lags by more batches than this reads a snapshot first.
 const SNAPSHOT_LAG: u64 = 64;
 
-/// How much longer a relay that read the table waits for the committer or another relay to push, in ms.
-const PATIENCE_MS: u64 = 500;
+/// Additional time in ms that a relay waits for a push of the committer or another relay before it
+/// pushes what it read from the table.
+const ROOT_DELAY_MS: u64 = 500;
 
-/// Pushes that may wait at once; each is for another tree.
+/// Most queued pushes, each for another tree.
 const QUEUE_MAX: usize = 16;
 
-/// What a relay, or any node inside a tree, has yet to pass on.
+/// Queued pushes of a relay, or of any inner node of a tree, and reads of the table's head.
 #[derive(Debug, Default)]
 pub struct Relay {
+    /// Time of the next read.
     due: Ms,
     failures: u32,
-    reading: Option<Reading>,
-    queue: BTreeMap<Target, Waiting>,
-    /// Highest position passed on down the trees below each root.
+    reading: Option<HeadRead>,
+    queue: BTreeMap<Target, QueuedPush>,
+    /// Highest position forwarded down the trees below each root.
     ///
-    /// By root, because two roots may push the same news: were a node to pass on only the first it hears, two
-    /// trees that overlap would each count on the other, and nodes would be left out by both.
-    passed: BTreeMap<NodeId, Seq>,
-    /// Position up to which this node, as a relay, has seen to its zone.
-    rooted: Seq,
+    /// Kept per root, because the trees of two roots that push the same entries overlap. If a node
+    /// forwarded only the first push, some nodes would get neither.
+    forwarded: BTreeMap<NodeId, Seq>,
+    /// Position up to which the zone needs no push from this node as a root.
+    covered: Seq,
 }
 
-/// Where a push goes.
+/// Receivers of a push.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Target {
     /// One relay of every zone.
@@ -62,58 +64,59 @@
     Tree(NodeId),
 }
 
-/// A push that waits for its window, for the budget or for what it is about.
+/// A push that waits for its window, for the budget or for its entries.
 ///
-/// Newest wins: while it waits it covers whatever is applied meanwhile, from the same start, so a burst
-/// costs one net change a service and no receiver misses an entry.
+/// It covers whatever is applied until it is sent, so a burst costs one net change per service and no
+/// receiver misses an entry.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct QueuedPush {
     from: Seq,
     due: Ms,
-    held: Held,
+    delayed: Delayed,
 }
 
-/// Whether a push has been counted as held back.
+/// Whether a push has been counted as delayed by the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Held {
+enum Delayed {
     No,
     Yes,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Reading {
+struct HeadRead {
     call: CallId,
     since: Ms,
 }
 
 impl Relay {
-    /// Pushes that wait to leave.
+    /// Returns the number of queued pushes.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    fn pass(&mut self, root: NodeId, seq: Seq) {
-        if self.passed.len() >= QUEUE_MAX && !self.passed.contains_key(&root) {
-            self.passed.clear();
+    fn mark_forwarded(&mut self, root: NodeId, seq: Seq) {
+        if self.forwarded.len() >= QUEUE_MAX && !self.forwarded.contains_key(&root) {
+            self.forwarded.clear();
         }
-        self.passed.insert(root, seq);
+        self.forwarded.insert(root, seq);
     }
 
     fn enqueue(&mut self, target: Target, from: Seq, due: Ms) {
         if self.queue.len() >= QUEUE_MAX && !self.queue.contains_key(&target) {
             return;
         }
-        let held = Held::No;
-        let waiting = self
+        let delayed = Delayed::No;
+        let push = self
             .queue
             .entry(target)
-            .or_insert(Waiting { from, due, held });
-        waiting.from = waiting.from.min(from);
-        waiting.due = waiting.due.min(due);
+            .or_insert(QueuedPush { from, due, delayed });
+        push.from = push.from.min(from);
+        push.due = push.due.min(due);
     }
 }
 
-/// Polls the table if this node has to, and notices news that reached a relay otherwise than by push.
+/// Reads the table's head if this node has to, and queues a push of entries that a relay got otherwise
+/// than by a push.
 pub fn tick(cx: &mut Context<'_>, state: &mut State) {
     let relay = tree::is_relay(state, cx.settings);
     state.spread.stats.relay = relay;
@@ -122,31 +125,31 @@
         SpreadMode::Relays => relay && readiness::relay_may_read(cx, state),
     };
     if polls {
-        retry_head(cx, state);
+        read_head_if_due(cx, state);
     }
-    root(cx, state, relay);
+    push_as_root(cx, state, relay);
 }
 
-/// A relay pushes whatever it applied and no tree brought it, however it learned of it.
-fn root(cx: &mut Context<'_>, state: &mut State, relay: bool) {
+/// Queues a push of the entries that this relay applied and that no tree brought.
+fn push_as_root(cx: &mut Context<'_>, state: &mut State, relay: bool) {
     let ready = state.spread.ready();
     let seq = state.spread.history.seq();
     let it = &mut state.spread.relay;
     if !it.queue.is_empty() {
         return;
     }
-    let passed = it.passed.values().max().copied().unwrap_or_default();
-    let from = it.rooted.max(passed);
-    it.rooted = seq;
+    let forwarded = it.forwarded.values().max().copied().unwrap_or_default();
+    let from = it.covered.max(forwarded);
+    it.covered = seq;
     let pushes = relay && ready && cx.settings.spread.mode == SpreadMode::Relays;
     if pushes && seq > from {
-        let due = cx.now + cx.settings.spread.window + PATIENCE_MS;
+        let due = cx.now + cx.settings.spread.window + ROOT_DELAY_MS;
         it.enqueue(Target::Tree(cx.settings.node), from, due);
     }
 }
 
-/// This node committed: it tells one relay of every zone once the window is over.
-pub fn accepted(cx: &mut Context<'_>, state: &mut State, seq: Seq) {
+/// Queues a push of a position that this node committed to one relay of every zone.
+pub fn push_committed(cx: &mut Context<'_>, state: &mut State, seq: Seq) {
     if cx.settings.spread.mode == SpreadMode::Relays {
         let due = cx.now + cx.settings.spread.window;
         let from = Seq(seq.0.saturating_sub(1));
@@ -154,16 +157,16 @@
     }
 }
 
-/// A push arrived: it goes on to this node's children unless news as new from that root went there before.
-pub fn pushed(cx: &mut Context<'_>, state: &mut State, root: NodeId, range: &Range) {
+/// Queues a received push for this node's children, unless as much from that root was forwarded before.
+pub fn forward_push(cx: &mut Context<'_>, state: &mut State, root: NodeId, range: &Range) {
     let own = cx.settings.node;
     let seq = state.spread.history.seq();
     let it = &mut state.spread.relay;
-    let passed = it.passed.get(&root).copied().unwrap_or_default();
-    if range.to <= passed {
+    let forwarded = it.forwarded.get(&root).copied().unwrap_or_default();
+    if range.to <= forwarded {
         return;
     }
-    // Another root sees to the zone.
+    // Another root pushes the same entries to the zone.
     if root != own && range.to >= seq {
         it.queue.remove(&Target::Tree(own));
     }
@@ -173,51 +176,51 @@
 /// Sends every push that is due, as far as the budget allows.
 pub fn flush(cx: &mut Context<'_>, state: &mut State) {
     let queue = &state.spread.relay.queue;
-    let due: Vec<(Target, Waiting)> = queue
+    let due: Vec<(Target, QueuedPush)> = queue
         .iter()
         .filter(|(_, it)| cx.now >= it.due)
         .map(|(target, it)| (*target, *it))
         .collect();
-    for (target, waiting) in due {
-        // What the push is about may itself still be on its way here.
-        if state.spread.history.seq() > waiting.from {
-            flush_one(cx, state, target, waiting);
+    for (target, queued) in due {
+        // The entries to push may not have arrived here yet.
+        if state.spread.history.seq() > queued.from {
+            flush_one(cx, state, target, queued);
         }
     }
 }
 
-fn flush_one(cx: &mut Context<'_>, state: &mut State, target: Target, waiting: Waiting) {
+fn flush_one(cx: &mut Context<'_>, state: &mut State, target: Target, queued: QueuedPush) {
     let seq = state.spread.history.seq();
     let pushes = match target {
-        Target::Zones => to_zones(cx, state, seq),
+        Target::Zones => zone_relays(cx, state, seq),
         Target::Tree(root) => {
             let children = tree::children(state, cx.settings, root, seq);
             children.into_iter().map(|it| (it, root)).collect()
         }
     };
-    // Below the floor only the whole state would do; receivers that lag so far fetch it themselves.
-    let from = waiting.from.max(state.spread.history.floor());
+    // Receivers below the floor need the whole state, which they pull themselves.
+    let from = queued.from.max(state.spread.history.floor());
     let form = cx.settings.spread.form;
     let Some(range) = state.spread.history.range(&state.log, from, form) else {
         return;
     };
-    let bytes: usize = pushes.len() * (wire::len(&range) + HEADER);
-    if !pushes.is_empty() && !state.spread.paced.allows(cx.now, bytes) {
-        return hold(state, target);
+    let bytes: usize = pushes.len() * (wire::len(&range) + PUSH_OVERHEAD);
+    if !pushes.is_empty() && !state.spread.control.allows(cx.now, bytes) {
+        return count_delay(state, target);
     }
     let spread = &mut state.spread;
     spread.relay.queue.remove(&target);
     match target {
-        Target::Zones => spread.relay.rooted = seq,
-        Target::Tree(root) => spread.relay.pass(root, seq),
+        Target::Zones => spread.relay.covered = seq,
+        Target::Tree(root) => spread.relay.mark_forwarded(root, seq),
     }
     for (to, root) in pushes {
         push(cx, state, to, root, &range);
     }
 }
 
-/// Bytes of a push besides its body, roughly.
-const HEADER: usize = 24;
+/// Approximate bytes of a push besides its body.
+const PUSH_OVERHEAD: usize = 24;
 
 fn push(cx: &mut Context<'_>, state: &mut State, to: NodeId, root: NodeId, range: &Range) {
     if to == cx.settings.node {
@@ -226,27 +229,27 @@
     }
     let range = range.clone();
     let message = Message::Push { root, range };
-    // Too long for one message: the receiver hears of it and fetches it in parts, at its own pace.
+    // Too long for one message: the receiver is notified of the position and pulls it in parts.
     if size(&event::Message::Spread(message.clone())) > RANGE_MAX {
-        return repair::announce(cx, state, to);
+        return repair::send_standing(cx, state, to);
     }
     send(cx, state, Kind::Push, to, message);
 }
 
-fn hold(state: &mut State, target: Target) {
+fn count_delay(state: &mut State, target: Target) {
     let spread = &mut state.spread;
     if let Some(it) = spread.relay.queue.get_mut(&target)
-        && it.held == Held::No
+        && it.delayed == Delayed::No
     {
-        it.held = Held::Yes;
+        it.delayed = Delayed::Yes;
         spread.stats.delayed += 1;
     }
 }
 
-/// One relay of each zone, a different one for each position: a dead relay delays every other push only.
+/// Returns one relay of each zone, each also as the root of its push.
 ///
-/// The zones are few (17 at the size built for), so this is bounded whatever the number of nodes.
-fn to_zones(cx: &Context<'_>, state: &mut State, seq: Seq) -> Vec<(NodeId, NodeId)> {
+/// The relays of a zone take turns by position, so a dead relay delays only its share of the pushes.
+fn zone_relays(cx: &Context<'_>, state: &mut State, seq: Seq) -> Vec<(NodeId, NodeId)> {
     let zones = tree::zones(state);
     let relays = zones.iter().filter_map(|zone| {
         let relays = tree::relays(state, cx.settings, zone);
@@ -255,8 +258,8 @@
     relays.map(|it| (it, it)).collect()
 }
 
-/// Reads the table's head unless an earlier failure asks to wait.
-pub fn retry_head(cx: &mut Context<'_>, state: &mut State) {
+/// Reads the table's head unless the interval or a back-off lasts.
+pub fn read_head_if_due(cx: &mut Context<'_>, state: &mut State) {
     if cx.now >= state.spread.relay.due {
         read_head(cx, state);
     }
@@ -264,7 +267,7 @@
 
 fn read_head(cx: &mut Context<'_>, state: &mut State) {
     let busy = state.spread.relay.reading;
-    if busy.is_some_and(|it| cx.now.since(it.since) < ANSWER_MS) {
+    if busy.is_some_and(|it| cx.now.since(it.since) < READ_TIMEOUT_MS) {
         return;
     }
     let keys = vec![HEAD_KEY.to_owned()];
@@ -272,12 +275,17 @@
     let since = cx.now;
     let jitter = cx.rng.random_range(POLL_MS / 2..=POLL_MS * 3 / 2);
     let relay = &mut state.spread.relay;
-    relay.reading = Some(Reading { call, since });
+    relay.reading = Some(HeadRead { call, since });
     relay.due = cx.now + jitter;
 }
 
-/// The table answered a read of this module, or of somebody else.
-pub fn answered(cx: &mut Context<'_>, state: &mut State, call: CallId, answer: &TableAnswer) {
+/// Handles the answer to a read of the table's head. Ignores answers to calls of other modules.
+pub fn handle_table_answer(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    call: CallId,
+    answer: &TableAnswer,
+) {
     let relay = &mut state.spread.relay;
     if relay.reading.take_if(|it| it.call == call).is_none() {
         return;
@@ -285,7 +293,7 @@
     match answer {
         TableAnswer::Rows(rows) => {
             relay.failures = 0;
-            head_read(cx, state, rows);
+            handle_head(cx, state, rows);
         }
         TableAnswer::Failed(fault) => {
             relay.failures += 1;
@@ -300,9 +308,9 @@
     }
 }
 
-fn head_read(cx: &mut Context<'_>, state: &mut State, rows: &[Row]) {
+fn handle_head(cx: &mut Context<'_>, state: &mut State, rows: &[Row]) {
     let head = rows.first().map_or(Seq(0), |it| head_seq(&it.value));
-    readiness::table_head(state, head);
+    readiness::record_table_head(state, head);
     let lag = head.0.saturating_sub(state.log.seq().0);
     match lag {
         0 => {}
@@ -311,7 +319,7 @@
     }
 }
 
-/// Reads the value of the head row; a value that does not decode counts as nothing heard.
+/// Decodes the value of the head row; zero if it doesn't decode.
 fn head_seq(value: &[u8]) -> Seq {
     <[u8; 8]>::try_from(value).map_or(Seq(0), |it| Seq(u64::from_le_bytes(it)))
 }
--- a/crates/kernel/src/spread/repair.rs
+++ b/crates/kernel/src/spread/repair.rs
@@ -1,13 +1,13 @@
-//! Repair: whatever was lost on its way is fetched from a peer.
+//! Repair of lost pushes: a node compares its position with peers and pulls what it lacks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand::{Rng, seq::IteratorRandom};
 
 use super::{
-    Kind, Message, Standing, Turn, Want,
+    Kind, Message, Standing, Turn, Want, apply_range,
     history::{Accepts, Refusal},
-    readiness, relay, send, take,
+    readiness, relay, send,
     wire::{Range, UNPACKED_MAX},
     witness,
 };
@@ -20,74 +20,78 @@
     utils::backoff,
 };
 
-/// A peer that stays silent for this long is given up, in ms.
-const SILENT_MS: u64 = 3_000;
+/// Timeout of a pull that got no answer yet, in ms.
+const ANSWER_TIMEOUT_MS: u64 = 3_000;
 
-/// The same for a peer that began to send parts, in ms.
-const PARTS_MS: u64 = 10_000;
+/// Timeout of a pull whose peer began to send parts, in ms.
+const PART_TIMEOUT_MS: u64 = 10_000;
 
-/// Longest pause before a pull on hearing of news; a push may be about to bring it.
+/// Longest delay in ms before a pull of entries that a peer reported, since a push may bring them.
 const JITTER_MS: u64 = 300;
 
-/// First and longest wait after a pull that failed, in ms.
+/// First and longest back-off after a failed pull, in ms.
 const RETRY_MS: u64 = 250;
 const RETRY_MAX_MS: u64 = 8_000;
 
-/// Pulls from peers of the zone, then from any, before the table is read as well.
-const ZONE_TRIES: u32 = 4;
-const PEER_TRIES: u32 = 8;
+/// Failed pulls up to which only peers of the zone are asked.
+const ZONE_ATTEMPTS: u32 = 4;
 
-/// One comparison in this many is with a peer of another zone.
-const ABROAD: u32 = 4;
+/// Failed pulls after which the table is read as well.
+const PEER_ATTEMPTS: u32 = 8;
 
-/// Peers of the zone, and of other zones, that a node compares with.
-const NEAR_MAX: usize = 6;
-const ABROAD_MAX: usize = 3;
+/// One comparison in this many is with a peer in another zone.
+const REMOTE_RATIO: u32 = 4;
 
-/// Every this many comparisons a node takes another peer to compare with.
-const REPLACED: u32 = 16;
+/// Peers in the own zone, and in other zones, that a node compares with.
+const LOCAL_PARTNERS: usize = 6;
+const REMOTE_PARTNERS: usize = 3;
 
-/// What this node knows to be lacking, and how it fetches it.
+/// One comparison in this many replaces a partner by another peer.
+const REPLACE_RATIO: u32 = 16;
+
+/// State of comparisons and pulls.
 #[derive(Debug, Default)]
 pub struct Repair {
+    /// Highest position reported by peers or the table.
     heard: Seq,
+    /// Peer that reported it first, or that holds a state to replace the own one.
     holder: Option<NodeId>,
     fetch: Fetch,
-    tries: u32,
+    attempts: u32,
     want: Want,
+    /// Time of the next comparison.
     due: Ms,
-    ballot: Ballot,
-    near: Vec<NodeId>,
-    abroad: Vec<NodeId>,
+    votes: DigestVotes,
+    /// Peers to compare with, in the own zone and in other zones.
+    local: Vec<NodeId>,
+    remote: Vec<NodeId>,
 }
 
-/// Which peers are meant.
+/// Whether a peer is in the own zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reach {
-    /// Those of this node's zone.
-    Near,
-    /// Those of other zones.
-    Abroad,
+enum Locality {
+    Local,
+    Remote,
 }
 
-impl Reach {
-    fn other(self) -> Reach {
+impl Locality {
+    fn other(self) -> Locality {
         match self {
-            Reach::Near => Reach::Abroad,
-            Reach::Abroad => Reach::Near,
+            Locality::Local => Locality::Remote,
+            Locality::Remote => Locality::Local,
         }
     }
 }
 
-/// The present pull.
+/// State of the current pull.
 #[derive(Debug, Default)]
 enum Fetch {
     /// Nothing is known to be lacking.
     #[default]
     Idle,
-    /// A pull leaves at this time.
+    /// A pull is sent at this time.
     Due(Ms),
-    /// A peer was asked.
+    /// A pull was sent.
     Waiting {
         peer: NodeId,
         since: Ms,
@@ -96,42 +100,42 @@
     },
 }
 
-/// Digests that peers at this node's own position told.
+/// Digests reported by peers at this node's own position.
 #[derive(Debug, Default)]
-struct Ballot {
+struct DigestVotes {
     seq: Seq,
-    votes: BTreeMap<NodeId, u64>,
+    by_peer: BTreeMap<NodeId, u64>,
 }
 
 /// Most votes kept.
-const BALLOT_MAX: usize = 8;
+const VOTES_MAX: usize = 8;
 
 impl Repair {
-    /// The highest position heard of.
+    /// Returns the highest position reported by peers or the table.
     pub fn heard(&self) -> Seq {
         self.heard
     }
 }
 
-/// Compares, pulls and gives up on what is silent, each when it is due.
+/// Sends comparisons and pulls that are due, and handles pulls that timed out.
 pub fn tick(cx: &mut Context<'_>, state: &mut State) {
     if cx.settings.spread.mode == SpreadMode::Poll {
         return;
     }
     if cx.now >= state.spread.repair.due {
-        compare(cx, state);
+        compare_with_peer(cx, state);
     }
     match state.spread.repair.fetch {
-        Fetch::Due(at) if cx.now >= at => pull(cx, state),
-        Fetch::Waiting { since, parts, .. } if cx.now.since(since) > patience(parts) => {
-            failed(cx, state, 0);
+        Fetch::Due(at) if cx.now >= at => send_pull(cx, state),
+        Fetch::Waiting { since, parts, .. } if cx.now.since(since) > pull_timeout(parts) => {
+            schedule_retry(cx, state, 0);
         }
         Fetch::Idle | Fetch::Due(_) | Fetch::Waiting { .. } => {}
     }
 }
 
-/// A peer holds the log up to `seq`.
-pub fn hear(cx: &mut Context<'_>, state: &mut State, from: NodeId, seq: Seq) {
+/// Notes that a peer holds the log up to `seq`, and schedules a pull if this node lacks entries.
+pub fn note_position(cx: &mut Context<'_>, state: &mut State, from: NodeId, seq: Seq) {
     let jitter = cx.rng.random_range(0..=JITTER_MS);
     let own = state.spread.history.seq();
     let it = &mut state.spread.repair;
@@ -152,19 +156,19 @@
     }
 }
 
-/// The table holds the log up to `seq`.
-pub fn hear_table(state: &mut State, seq: Seq) {
+/// Notes that the table holds the log up to `seq`.
+pub fn note_table_position(state: &mut State, seq: Seq) {
     let it = &mut state.spread.repair;
     it.heard = it.heard.max(seq);
 }
 
-/// The log grew: a pull under way is over if nothing more is known to be lacking.
-pub fn advanced(cx: &Context<'_>, state: &mut State) {
+/// Handles progress of the log: ends the current pull unless more entries are lacking.
+pub fn handle_progress(cx: &Context<'_>, state: &mut State) {
     let own = state.spread.history.seq();
     let it = &mut state.spread.repair;
-    it.tries = 0;
+    it.attempts = 0;
     it.want = Want::Delta;
-    it.ballot = Ballot::default();
+    it.votes = DigestVotes::default();
     match it.fetch {
         _ if own >= it.heard => it.fetch = Fetch::Idle,
         Fetch::Waiting { .. } => {}
@@ -172,8 +176,8 @@
     }
 }
 
-/// A range from `from` could not be applied.
-pub fn lacking(
+/// Handles a range from `from` that could not be applied.
+pub fn handle_refused_range(
     cx: &mut Context<'_>,
     state: &mut State,
     from: NodeId,
@@ -187,8 +191,8 @@
     it.want = match refusal {
         Refusal::Old => return,
         Refusal::Gap => it.want,
-        // A wrong digest stays wrong by any delta and by full texts of what changed: only the whole
-        // state, checked against its own digest, gets the node out of it.
+        // Full texts of the changes didn't help, so the own state differs elsewhere: only the whole
+        // state, checked against its own digest, repairs it.
         Refusal::Digest | Refusal::Bad if it.want != Want::Delta => Want::Whole,
         Refusal::Base | Refusal::Digest | Refusal::Bad => Want::Full,
     };
@@ -198,17 +202,17 @@
         let pairs = vec![("from", from.to_string()), ("why", why)];
         cx.log("spread-mismatch", pairs);
     }
-    // A pull under way or due brings what lacks; starting anew would lose the parts that came already.
+    // A pull in progress is kept, so that the parts already received are not lost.
     if matches!(it.fetch, Fetch::Idle) {
         match it.want {
-            Want::Whole => failed(cx, state, 0),
+            Want::Whole => schedule_retry(cx, state, 0),
             Want::Delta | Want::Full => it.fetch = Fetch::Due(cx.now),
         }
     }
 }
 
-/// A peer told where it is.
-pub fn compared(
+/// Handles a comparison: answers a question and evaluates the peer's position and digest.
+pub fn handle_compare(
     cx: &mut Context<'_>,
     state: &mut State,
     from: NodeId,
@@ -222,14 +226,14 @@
         };
         send(cx, state, Kind::Repair, from, answer);
     }
-    hear(cx, state, from, standing.seq);
-    readiness::vote(state, from, standing);
-    dispute(cx, state, from, standing);
-    answered_empty(cx, state, from, standing.seq);
+    note_position(cx, state, from, standing.seq);
+    readiness::record_standing(state, from, standing);
+    check_digest(cx, state, from, standing);
+    handle_empty_answer(cx, state, from, standing.seq);
 }
 
-/// Tells a peer where this node is, so that it fetches what it lacks.
-pub fn announce(cx: &mut Context<'_>, state: &mut State, to: NodeId) {
+/// Sends a peer this node's position, so that it pulls what it lacks.
+pub fn send_standing(cx: &mut Context<'_>, state: &mut State, to: NodeId) {
     let message = Message::Compare {
         standing: state.spread.standing(to),
         turn: Turn::Answer,
@@ -237,19 +241,19 @@
     send(cx, state, Kind::Repair, to, message);
 }
 
-/// A peer sent what this node lacked.
-pub fn filled(cx: &mut Context<'_>, state: &mut State, from: NodeId, range: &Range) {
-    end_wait(state, from);
+/// Applies the answer to a pull.
+pub fn handle_fill(cx: &mut Context<'_>, state: &mut State, from: NodeId, range: &Range) {
+    end_pull(state, from);
     let whole = state.spread.repair.want == Want::Whole && range.from == Seq(0);
     let accepts = match whole {
         true => Accepts::Same,
         false => Accepts::Newer,
     };
-    take(cx, state, from, range, accepts);
+    apply_range(cx, state, from, range, accepts);
 }
 
-/// A part of a catch-up arrived.
-pub fn part(
+/// Adds a received part of a catch-up, and requests the next one or applies the whole range.
+pub fn handle_part(
     cx: &mut Context<'_>,
     state: &mut State,
     from: NodeId,
@@ -277,59 +281,59 @@
     }
     let blob = std::mem::take(blob);
     match postcard::from_bytes::<Range>(&blob) {
-        Ok(range) => filled(cx, state, from, &range),
-        Err(_) => failed(cx, state, 0),
+        Ok(range) => handle_fill(cx, state, from, &range),
+        Err(_) => schedule_retry(cx, state, 0),
     }
 }
 
-/// A peer is too busy.
-pub fn refused(cx: &mut Context<'_>, state: &mut State, from: NodeId, after: u64) {
-    if waits_for(state, from) {
-        failed(cx, state, after.min(RETRY_MAX_MS));
+/// Schedules a retry after a peer refused a pull.
+pub fn handle_refusal(cx: &mut Context<'_>, state: &mut State, from: NodeId, after: u64) {
+    if is_pulling_from(state, from) {
+        schedule_retry(cx, state, after.min(RETRY_MAX_MS));
     }
 }
 
-fn compare(cx: &mut Context<'_>, state: &mut State) {
+fn compare_with_peer(cx: &mut Context<'_>, state: &mut State) {
     let period = cx.settings.spread.repair.max(2);
     let jitter = cx.rng.random_range(period / 2..=period * 3 / 2);
     state.spread.repair.due = cx.now + jitter;
-    // A new node has to find peers that are ready, which may be few.
+    // A node that is not ready also asks its witnesses, which may know of a proposed position.
     if !state.spread.ready() {
-        let peer = peer_where(cx, state, |_| true);
-        let witnesses = witness::of(state, cx.settings.node);
+        let peer = random_peer(cx, state, |_| true);
+        let witnesses = witness::witnesses_of(state, cx.settings.node);
         for to in witnesses.into_iter().chain(peer) {
-            question(cx, state, to);
+            send_question(cx, state, to);
         }
         return;
     }
-    let reach = match cx.rng.random_ratio(1, ABROAD) {
-        true => Reach::Abroad,
-        false => Reach::Near,
+    let locality = match cx.rng.random_ratio(1, REMOTE_RATIO) {
+        true => Locality::Remote,
+        false => Locality::Local,
     };
-    let peer = partner(cx, state, reach);
-    let other = reach.other();
-    if let Some(to) = peer.or_else(|| partner(cx, state, other)) {
-        question(cx, state, to);
+    let peer = choose_partner(cx, state, locality);
+    let other = locality.other();
+    if let Some(to) = peer.or_else(|| choose_partner(cx, state, other)) {
+        send_question(cx, state, to);
     }
 }
 
-/// A random one of the few peers that this node compares with.
+/// Returns a random one of the few peers that this node compares with.
 ///
-/// Were it any peer, every comparison would open a connection; so a node keeps some, and replaces one now
-/// and then, so that no group of nodes only ever compares within itself.
-fn partner(cx: &mut Context<'_>, state: &mut State, reach: Reach) -> Option<NodeId> {
+/// The partners are kept, because a new peer for every comparison would open many connections. One is
+/// replaced at times, so that no group of nodes compares only within itself.
+fn choose_partner(cx: &mut Context<'_>, state: &mut State, locality: Locality) -> Option<NodeId> {
     let State {
         members, spread, ..
     } = state;
     let (own, zone) = (cx.settings.node, &cx.settings.zone);
-    let suits = |it: &&Record| it.id != own && (it.zone == *zone) == (reach == Reach::Near);
+    let suits = |it: &&Record| it.id != own && (it.zone == *zone) == (locality == Locality::Local);
     let alive: BTreeSet<NodeId> = members.alive().filter(suits).map(|it| it.id).collect();
-    let (partners, most) = match reach {
-        Reach::Near => (&mut spread.repair.near, NEAR_MAX),
-        Reach::Abroad => (&mut spread.repair.abroad, ABROAD_MAX),
+    let (partners, most) = match locality {
+        Locality::Local => (&mut spread.repair.local, LOCAL_PARTNERS),
+        Locality::Remote => (&mut spread.repair.remote, REMOTE_PARTNERS),
     };
     partners.retain(|it| alive.contains(it));
-    if partners.len() == most && cx.rng.random_ratio(1, REPLACED) {
+    if partners.len() == most && cx.rng.random_ratio(1, REPLACE_RATIO) {
         partners.remove(cx.rng.random_range(0..most));
     }
     if partners.len() < most {
@@ -342,7 +346,7 @@
     partners.iter().copied().choose(cx.rng)
 }
 
-fn question(cx: &mut Context<'_>, state: &mut State, to: NodeId) {
+fn send_question(cx: &mut Context<'_>, state: &mut State, to: NodeId) {
     let message = Message::Compare {
         standing: state.spread.standing(to),
         turn: Turn::Question,
@@ -350,19 +354,19 @@
     send(cx, state, Kind::Repair, to, message);
 }
 
-fn pull(cx: &mut Context<'_>, state: &mut State) {
+fn send_pull(cx: &mut Context<'_>, state: &mut State) {
     let seq = state.spread.history.seq();
     let it = &state.spread.repair;
     if it.heard <= seq && it.want != Want::Whole {
         state.spread.repair.fetch = Fetch::Idle;
         return;
     }
-    let (tries, want) = (it.tries, it.want);
-    if tries >= PEER_TRIES {
-        relay::retry_head(cx, state);
+    let (attempts, want) = (it.attempts, it.want);
+    if attempts >= PEER_ATTEMPTS {
+        relay::read_head_if_due(cx, state);
     }
-    let Some(peer) = source(cx, state, tries) else {
-        return failed(cx, state, 0);
+    let Some(peer) = choose_source(cx, state, attempts) else {
+        return schedule_retry(cx, state, 0);
     };
     state.spread.repair.fetch = Fetch::Waiting {
         peer,
@@ -373,22 +377,23 @@
     send(cx, state, Kind::Repair, peer, Message::Pull { seq, want });
 }
 
-/// Whom to ask: who told of the news first, then peers of the zone, then any peer.
-fn source(cx: &mut Context<'_>, state: &State, tries: u32) -> Option<NodeId> {
+/// Returns the peer to pull from: first the one that reported the position, then peers of the zone, then
+/// any peer.
+fn choose_source(cx: &mut Context<'_>, state: &State, attempts: u32) -> Option<NodeId> {
     let own = cx.settings.node;
     let holder = state.spread.repair.holder.filter(|it| *it != own);
-    if tries == 0 && holder.is_some() {
+    if attempts == 0 && holder.is_some() {
         return holder;
     }
     let zone = &cx.settings.zone;
-    let near = match tries < ZONE_TRIES {
-        true => peer_where(cx, state, |it| it.zone == *zone),
+    let local = match attempts < ZONE_ATTEMPTS {
+        true => random_peer(cx, state, |it| it.zone == *zone),
         false => None,
     };
-    near.or_else(|| peer_where(cx, state, |_| true))
+    local.or_else(|| random_peer(cx, state, |_| true))
 }
 
-fn peer_where(
+fn random_peer(
     cx: &mut Context<'_>,
     state: &State,
     suits: impl Fn(&Record) -> bool,
@@ -398,55 +403,63 @@
     suiting.map(|it| it.id).choose(cx.rng)
 }
 
-fn failed(cx: &mut Context<'_>, state: &mut State, after: u64) {
+/// Counts a failed pull and schedules the next one after `after` ms and a back-off.
+fn schedule_retry(cx: &mut Context<'_>, state: &mut State, after: u64) {
     let it = &mut state.spread.repair;
-    it.tries = it.tries.saturating_add(1);
-    let wait = backoff(cx.rng, RETRY_MS, RETRY_MAX_MS, it.tries);
+    it.attempts = it.attempts.saturating_add(1);
+    let wait = backoff(cx.rng, RETRY_MS, RETRY_MAX_MS, it.attempts);
     it.fetch = Fetch::Due(cx.now + after + wait);
     state.spread.stats.failures += 1;
 }
 
-/// A peer that began to send parts paces them; it is given more time than one that said nothing.
-fn patience(parts: u32) -> u64 {
+/// Returns the timeout of a pull in ms. It is longer once parts arrive, since the peer limits their rate.
+fn pull_timeout(parts: u32) -> u64 {
     match parts {
-        0 => SILENT_MS,
-        _ => PARTS_MS,
+        0 => ANSWER_TIMEOUT_MS,
+        _ => PART_TIMEOUT_MS,
     }
 }
 
-fn waits_for(state: &State, from: NodeId) -> bool {
+fn is_pulling_from(state: &State, from: NodeId) -> bool {
     matches!(state.spread.repair.fetch, Fetch::Waiting { peer, .. } if peer == from)
 }
 
-fn end_wait(state: &mut State, from: NodeId) {
-    if waits_for(state, from) {
+fn end_pull(state: &mut State, from: NodeId) {
+    if is_pulling_from(state, from) {
         state.spread.repair.fetch = Fetch::Idle;
     }
 }
 
-/// The peer that was asked turns out to hold no more than this node.
-fn answered_empty(cx: &mut Context<'_>, state: &mut State, from: NodeId, seq: Seq) {
+/// Schedules a retry if the peer asked by a pull holds no more than this node.
+fn handle_empty_answer(cx: &mut Context<'_>, state: &mut State, from: NodeId, seq: Seq) {
     let own = state.spread.history.seq();
-    if waits_for(state, from) && seq <= own {
-        failed(cx, state, 0);
+    if is_pulling_from(state, from) && seq <= own {
+        schedule_retry(cx, state, 0);
     }
 }
 
-/// Counts digests at equal positions; a node that several peers contradict fetches the whole state.
-fn dispute(cx: &mut Context<'_>, state: &mut State, from: NodeId, standing: &Standing) {
+/// Counts the digests of peers at the own position. If several contradict this node, it pulls the whole
+/// state.
+fn check_digest(cx: &mut Context<'_>, state: &mut State, from: NodeId, standing: &Standing) {
     let own = state.spread.standing(from);
     if standing.seq != own.seq || !standing.ready {
         return;
     }
     let it = &mut state.spread.repair;
-    if it.ballot.seq != own.seq || it.ballot.votes.len() >= BALLOT_MAX {
-        it.ballot = Ballot {
+    if it.votes.seq != own.seq || it.votes.by_peer.len() >= VOTES_MAX {
+        it.votes = DigestVotes {
             seq: own.seq,
-            votes: BTreeMap::new(),
+            by_peer: BTreeMap::new(),
         };
     }
-    it.ballot.votes.insert(from, standing.digest);
-    let count = |digest| it.ballot.votes.values().filter(|it| **it == digest).count();
+    it.votes.by_peer.insert(from, standing.digest);
+    let count = |digest| {
+        it.votes
+            .by_peer
+            .values()
+            .filter(|it| **it == digest)
+            .count()
+    };
     let against = count(standing.digest);
     if standing.digest != own.digest && against >= 2 && against > count(own.digest) {
         it.holder = Some(from);
--- a/crates/kernel/src/spread/status.rs
+++ b/crates/kernel/src/spread/status.rs
@@ -1,7 +1,7 @@
-//! Status: what every node holds, gathered up the trees and told to whoever asks.
+//! Status of the fleet: the position of every node, aggregated up the trees and queried by operators.
 //!
-//! A node reports to its parent in one tree of its zone, the root of each zone to one status node. A
-//! report is of bounded size: it counts nodes and names only those that hold least.
+//! A node reports to its parent in one tree of its zone, and the root of each zone to one status node.
+//! Reports have a bounded size: they count nodes and name only those with the lowest positions.
 
 use std::collections::BTreeMap;
 
@@ -21,36 +21,36 @@
 pub const REPORT_MS: u64 = 1_000;
 
 /// Mean time between two reports while nothing changes, in ms.
-const KEEP_MS: u64 = 10_000;
+const IDLE_REPORT_MS: u64 = 10_000;
 
-/// A report older than this counts no more, in ms.
-const STALE_MS: u64 = 3 * KEEP_MS;
+/// Age in ms from which a report is stale and no longer counted.
+const STALE_MS: u64 = 3 * IDLE_REPORT_MS;
 
-/// How long an asker waits for the status node, in ms.
-const ANSWER_MS: u64 = 1_000;
+/// Timeout of a query to the status node, in ms.
+const QUERY_TIMEOUT_MS: u64 = 1_000;
 
-/// Nodes and versions named in a report.
+/// Most nodes and versions named in a report.
 const NAMED_MAX: usize = 8;
 
-/// Reports kept, and askers waiting at once.
+/// Most reports kept, and most queries in flight.
 const KEPT_MAX: usize = 256;
 
-/// Who holds which sequence number.
+/// Answer to a status query: which nodes hold the highest known position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Last batch applied by the node asked.
+    /// Last batch applied by the queried node.
     pub seq: Seq,
-    /// The highest position that the node asked has heard of.
+    /// Highest position known to the queried node.
     pub heard: Seq,
-    /// Nodes alive, in the view of the node asked.
+    /// Number of nodes alive in the view of the queried node.
     pub nodes: usize,
-    /// Nodes that reported what they hold.
+    /// Number of nodes that reported their position.
     pub reported: usize,
-    /// Nodes known to lag, with what they hold; the worst few only.
+    /// The nodes that lag most, with their positions.
     pub behind: Vec<(NodeId, Seq)>,
-    /// Accepted versions that a node had to refuse; a few only.
+    /// Some of the accepted versions that a node had to refuse.
     pub bad: Vec<BadVersion>,
-    /// Whether every node alive reported that it holds, and has in force, all that was heard of.
+    /// Whether every node alive reported that it holds the highest known position and has it in force.
     pub everywhere: bool,
 }
 
@@ -59,13 +59,13 @@
 pub struct BadVersion {
     /// The service.
     pub service: Name,
-    /// The revision refused.
+    /// The refused revision.
     pub revision: Revision,
     /// A node that refused it.
     pub node: NodeId,
 }
 
-/// What a node and those that report to it hold.
+/// Aggregated report of a node and those that report to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     nodes: u32,
@@ -85,71 +85,73 @@
     }
 }
 
-/// Reports received and questions under way.
+/// Reports received and queries in flight.
 #[derive(Debug, Default)]
 pub struct Reports {
     received: BTreeMap<NodeId, (Ms, Summary)>,
+    /// Last report sent, and its receiver.
     sent: Option<(NodeId, Summary)>,
     due: Ms,
-    keep: Ms,
+    /// Time from which an unchanged report is sent again.
+    repeat: Ms,
     number: u64,
-    asking: BTreeMap<u64, (Ms, Token)>,
+    queries: BTreeMap<u64, (Ms, Token)>,
 }
 
-/// Reports what changed and answers those who waited for too long.
+/// Answers queries that timed out from the own reports, and sends a report if one is due.
 pub fn tick(cx: &mut Context<'_>, state: &mut State) {
     let now = cx.now;
-    let asking = &mut state.spread.reports.asking;
-    for (_, (_, token)) in take_due(asking, |_, it| now.since(it.0) > ANSWER_MS) {
+    let queries = &mut state.spread.reports.queries;
+    for (_, (_, token)) in take_due(queries, |_, it| now.since(it.0) > QUERY_TIMEOUT_MS) {
         let own = subtree(cx, state);
-        answer(cx, state, token, &own);
+        reply(cx, state, token, &own);
     }
     if now >= state.spread.reports.due {
-        report(cx, state);
+        send_report(cx, state);
     }
 }
 
-/// An operator asks.
-pub fn ask(cx: &mut Context<'_>, state: &mut State, token: Token) {
+/// Handles a status query of an operator: forwards it to the status node, or answers it on that node.
+pub fn query(cx: &mut Context<'_>, state: &mut State, token: Token) {
     let status = tree::status_node(state);
     match status.filter(|it| *it != cx.settings.node) {
-        Some(to) if state.spread.reports.asking.len() < KEPT_MAX => {
+        Some(to) if state.spread.reports.queries.len() < KEPT_MAX => {
             let reports = &mut state.spread.reports;
             reports.number += 1;
             let number = reports.number;
-            reports.asking.insert(number, (cx.now, token));
+            reports.queries.insert(number, (cx.now, token));
             send(cx, state, Kind::Report, to, Message::Ask { number });
         }
         _ => {
-            let summary = everything(cx, state);
-            answer(cx, state, token, &summary);
+            let summary = all_zones(cx, state);
+            reply(cx, state, token, &summary);
         }
     }
 }
 
-/// Another node asks this one, the status node in its view.
-pub fn asked(cx: &mut Context<'_>, state: &mut State, from: NodeId, number: u64) {
-    let summary = everything(cx, state);
+/// Answers a query of another node, in whose view this one is the status node.
+pub fn handle_ask(cx: &mut Context<'_>, state: &mut State, from: NodeId, number: u64) {
+    let summary = all_zones(cx, state);
     let message = Message::Told { number, summary };
     send(cx, state, Kind::Report, from, message);
 }
 
-/// The status node answered.
-pub fn told(cx: &mut Context<'_>, state: &mut State, number: u64, summary: &Summary) {
-    if let Some((_, token)) = state.spread.reports.asking.remove(&number) {
-        answer(cx, state, token, summary);
+/// Replies to the operator with the answer of the status node.
+pub fn handle_told(cx: &mut Context<'_>, state: &mut State, number: u64, summary: &Summary) {
+    if let Some((_, token)) = state.spread.reports.queries.remove(&number) {
+        reply(cx, state, token, summary);
     }
 }
 
-/// A node below this one, or the root of a zone, reported.
-pub fn reported(cx: &mut Context<'_>, state: &mut State, from: NodeId, summary: &Summary) {
+/// Stores the report of a child of this node, or of the root of a zone.
+pub fn handle_report(cx: &mut Context<'_>, state: &mut State, from: NodeId, summary: &Summary) {
     let received = &mut state.spread.reports.received;
     if received.len() < KEPT_MAX || received.contains_key(&from) {
         received.insert(from, (cx.now, summary.clone()));
     }
 }
 
-fn answer(cx: &mut Context<'_>, state: &mut State, token: Token, summary: &Summary) {
+fn reply(cx: &mut Context<'_>, state: &mut State, token: Token, summary: &Summary) {
     let nodes = state.members.alive().count();
     let heard = state.spread.heard();
     let reported = summary.nodes as usize;
@@ -167,28 +169,28 @@
     cx.reply(token, event::Reply::Status(status));
 }
 
-fn report(cx: &mut Context<'_>, state: &mut State) {
+fn send_report(cx: &mut Context<'_>, state: &mut State) {
     let jitter = cx.rng.random_range(REPORT_MS / 2..=REPORT_MS * 3 / 2);
     state.spread.reports.due = cx.now + jitter;
     let now = cx.now;
     let received = &mut state.spread.reports.received;
     received.retain(|_, it| now.since(it.0) <= STALE_MS);
-    let parent = tree::reports_to(state, cx.settings);
+    let parent = tree::report_parent(state, cx.settings);
     let Some(to) = parent.filter(|it| *it != cx.settings.node) else {
         return;
     };
     let summary = subtree(cx, state);
-    let news = Some((to, summary.clone()));
+    let current = Some((to, summary.clone()));
     let reports = &mut state.spread.reports;
-    if reports.sent == news && now < reports.keep {
+    if reports.sent == current && now < reports.repeat {
         return;
     }
-    reports.sent = news;
-    reports.keep = now + KEEP_MS + jitter;
+    reports.sent = current;
+    reports.repeat = now + IDLE_REPORT_MS + jitter;
     send(cx, state, Kind::Report, to, Message::Report { summary });
 }
 
-/// This node and those below it in the zone's report tree.
+/// Returns the summary of this node and those below it in the zone's report tree.
 fn subtree(cx: &Context<'_>, state: &mut State) -> Summary {
     let node = cx.settings.node;
     let held = state.log.held().values().take(NAMED_MAX);
@@ -202,9 +204,9 @@
         lowest: vec![(state.spread.history.seq(), node)],
         bad: bad.collect(),
     };
-    // Only present children count: one that moved to another parent would be counted twice and could
-    // hide one that reported nowhere.
-    for child in tree::reporters(state, cx.settings) {
+    // Only current children count: a node that moved to another parent would be counted twice and could
+    // hide one that didn't report.
+    for child in tree::report_children(state, cx.settings) {
         if let Some((_, it)) = state.spread.reports.received.get(&child) {
             summary.merge(it);
         }
@@ -212,8 +214,8 @@
     summary
 }
 
-/// Every zone's report, as far as they reached this node.
-fn everything(cx: &Context<'_>, state: &mut State) -> Summary {
+/// Returns the summary of all zones whose reports reached this node.
+fn all_zones(cx: &Context<'_>, state: &mut State) -> Summary {
     let zones = tree::zones(state);
     let roots = zones.iter().filter_map(|zone| {
         let relays = tree::relays(state, cx.settings, zone);
--- a/crates/kernel/src/spread/tree.rs
+++ b/crates/kernel/src/spread/tree.rs
@@ -1,4 +1,4 @@
-//! Who pushes to whom: relays of a zone, and the trees below them.
+//! Relays of a zone and the trees below them, along which pushes and reports are sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,13 +9,12 @@
     utils::rendezvous,
 };
 
-/// Trees below one root that its pushes take in turn.
+/// Number of trees below one root, which its pushes use in turn.
 ///
-/// With one tree the same few nodes would carry every push; with several the load of an inner place is
-/// shared, and a dead inner node cuts different nodes off each time.
+/// This shares the load of inner nodes, and a dead inner node cuts off different nodes each time.
 const TURNS: u64 = 4;
 
-/// Relays and trees of the present view, computed when first asked for.
+/// Relays and trees of the current view, computed on first use.
 #[derive(Debug, Default)]
 pub struct Trees {
     relays: BTreeMap<Name, Vec<NodeId>>,
@@ -23,24 +22,24 @@
     ranked: BTreeMap<(NodeId, u64), Vec<NodeId>>,
 }
 
-/// Most roots whose trees are kept; a zone has few relays, so more come only from views that differ.
+/// Most trees kept. A zone has few relays, so more roots come only from differing views.
 const ROOTS_MAX: usize = 32;
 
 impl Trees {
-    /// Forgets what an older view led to.
+    /// Drops the relays and trees of an older view.
     pub fn clear(&mut self) {
         *self = Trees::default();
     }
 }
 
-/// The zones of the present view.
+/// Returns the zones of the current view.
 pub fn zones(state: &State) -> BTreeSet<Name> {
     state.members.ready().map(|it| it.zone.clone()).collect()
 }
 
-/// The relays of a zone, at most `settings.spread.relays`.
+/// Returns the relays of a zone, at most `settings.spread.relays`.
 ///
-/// One zone at a time: nodes come and go many times a minute, and most nodes only need their own zone's.
+/// Computed per zone, because the view changes often and most nodes only need their own zone.
 pub fn relays<'a>(state: &'a mut State, settings: &Settings, zone: &Name) -> &'a [NodeId] {
     let State {
         members, spread, ..
@@ -56,12 +55,12 @@
     relays.get(zone).map_or(&[], Vec::as_slice)
 }
 
-/// Whether this node is a relay of its zone.
+/// Returns whether this node is a relay of its zone.
 pub fn is_relay(state: &mut State, settings: &Settings) -> bool {
     relays(state, settings, &settings.zone).contains(&settings.node)
 }
 
-/// The nodes that this one pushes to, in the tree below `root` that a push up to `seq` takes.
+/// Returns the nodes that this one pushes to, in the tree below `root` that a push up to `seq` uses.
 pub fn children(state: &mut State, settings: &Settings, root: NodeId, seq: Seq) -> Vec<NodeId> {
     let degree = settings.spread.degree.max(1);
     let ranked = ranked(state, settings, root, seq.0 % TURNS);
@@ -72,16 +71,17 @@
     below.copied().collect()
 }
 
-/// The nodes that report to this one, if it is not a zone's root that reports to the status node.
-pub fn reporters(state: &mut State, settings: &Settings) -> Vec<NodeId> {
+/// Returns the nodes that report to this one within its zone.
+pub fn report_children(state: &mut State, settings: &Settings) -> Vec<NodeId> {
     match relays(state, settings, &settings.zone).first().copied() {
         Some(root) => children(state, settings, root, Seq(0)),
         None => Vec::new(),
     }
 }
 
-/// Where this node reports to: its parent below the zone's first relay, or from there the status node.
-pub fn reports_to(state: &mut State, settings: &Settings) -> Option<NodeId> {
+/// Returns the node that this one reports to: its parent below the zone's first relay, or the status node
+/// if this node is that relay.
+pub fn report_parent(state: &mut State, settings: &Settings) -> Option<NodeId> {
     let degree = settings.spread.degree.max(1);
     let root = relays(state, settings, &settings.zone).first().copied()?;
     let ranked = ranked(state, settings, root, 0);
@@ -91,7 +91,7 @@
     }
 }
 
-/// The node that gathers the reports of every zone.
+/// Returns the node that gathers the reports of every zone.
 pub fn status_node(state: &mut State) -> Option<NodeId> {
     if state.spread.trees.status.is_none() {
         let ready = state.members.ready().map(|it| it.id);
@@ -100,7 +100,8 @@
     state.spread.trees.status
 }
 
-/// The root first, then the other members of this node's zone in the order of their places.
+/// Returns the nodes of a tree in the order of their places: the root, then the other members of this
+/// node's zone.
 fn ranked<'a>(
     state: &'a mut State,
     settings: &Settings,
