--- a/crates/kernel/src/clock.rs
+++ b/crates/kernel/src/clock.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time, in milliseconds since the Unix epoch as the driver's clock tells it.
+/// A point in time, in milliseconds since the Unix epoch by the driver's clock.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ms(pub u64);
 
 impl Ms {
-    /// Milliseconds from `earlier` to `self`; zero if `earlier` is the later of the two.
+    /// Returns the milliseconds from `earlier` to `self`, or zero if `earlier` is later.
     pub fn since(self, earlier: Ms) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/kernel/src/event.rs
+++ b/crates/kernel/src/event.rs
@@ -1,4 +1,4 @@
-//! The kernel's whole interface: what goes in and what comes out.
+//! The kernel's interface: input events and output actions.
 
 use std::sync::Arc;
 
@@ -15,16 +15,16 @@
     view::View,
 };
 
-/// Something that happened; the input of [`crate::Kernel::step`].
+/// An input of [`crate::Kernel::step`].
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The process started; always the first event.
     Start,
-    /// Time passed. The driver sends one every [`TICK_MS`] or sooner.
+    /// Time has passed. The driver sends one at least every [`TICK_MS`].
     Tick,
     /// A message arrived over the link (TCP, ordered per peer while the connection lasts).
     Message { from: NodeId, message: Message },
-    /// A probe arrived (UDP: may be lost, doubled or reordered).
+    /// A probe arrived (UDP: may be lost, duplicated or reordered).
     Probe {
         from: NodeId,
         packet: members::Packet,
@@ -33,64 +33,65 @@
     Table { call: CallId, answer: TableAnswer },
     /// The object store answered.
     Object { call: CallId, answer: ObjectAnswer },
-    /// An operator or a traffic thread asks for something; answered by one [`Action::Reply`].
+    /// A call of an operator or a traffic thread; answered by one [`Action::Reply`].
     Call { token: Token, call: Call },
-    /// The upstream beside this node announced itself or changed.
+    /// The state of the upstream beside this node changed.
     Upstream(UpstreamEvent),
-    /// The external source of the configuration gave a version.
+    /// The external source sent a version.
     Imported(Arc<Table>),
-    /// The external source answers, or no longer does.
+    /// The external source started or stopped answering.
     Source(import::Source),
-    /// To [`Action::CheckSource`]: the source held nothing newer than `version` when it was asked, `age` ms ago or less.
+    /// Answers [`Action::CheckSource`]: the source held nothing newer than `version` at most `age`
+    /// ms ago.
     Confirmed { version: u64, age: u64 },
     /// The platform's store answered in this era.
     Era(Era),
-    /// The process was told to stop: begin draining.
+    /// The process has to stop: begin draining.
     Stop,
-    /// After [`Event::Stop`]: no request is in progress any more.
+    /// No request is in progress any more; sent after [`Event::Stop`].
     Idle,
-    /// Raised by one plug-in for the others, within the same step.
+    /// A notice raised by a plug-in within the same step.
     Notice(Notice),
 }
 
-/// Longest time between two [`Event::Tick`]s, in milliseconds.
+/// Longest time between two [`Event::Tick`]s, in ms.
 pub const TICK_MS: u64 = 50;
 
-/// What became of the upstream beside this node.
+/// A state change of the upstream beside this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamEvent {
-    /// It announced itself as serving `service` with `slots` concurrent requests.
+    /// It announced that it serves `service` with `slots` concurrent requests.
     Announced { service: Name, slots: u16 },
-    /// It is ready for work: its cold start is over.
+    /// It has warmed up and is ready.
     Ready,
-    /// It is alive but not ready for work.
+    /// It is alive but not ready yet.
     Warming,
-    /// It asked to be drained.
+    /// It requested to be drained.
     Draining,
-    /// It left, or its announcement lapsed.
+    /// It left, or its announcement expired.
     Gone,
 }
 
 /// A message between two nodes over the link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Submissions on their way to a committer.
+    /// Submissions forwarded to a committer.
     Accept(accept::Message),
-    /// Configuration on its way to the nodes.
+    /// Distribution of configuration.
     Spread(spread::Message),
-    /// Member records exchanged in bulk.
+    /// Bulk exchange of member records.
     Members(members::Message),
-    /// Claims on their way to a bucket's owner.
+    /// Claims sent to the owner of a bucket.
     Once(once::Message),
-    /// Fingerprints of crashing requests.
+    /// Fingerprints of requests that crash their upstream.
     Guard(guard::Message),
     /// Versions of an external source.
     Import(import::Message),
-    /// The platform's store was put back to an older copy.
+    /// The platform's store was restored to an older copy.
     Restore(restore::Message),
 }
 
-/// What an operator or a traffic thread asks of the control thread.
+/// A call of an operator or a traffic thread to the control thread.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Submissions and reads of the configuration.
@@ -99,72 +100,73 @@
     Once(once::Call),
     /// Crashes and quarantines.
     Guard(guard::Call),
-    /// Who holds which sequence number.
+    /// Sequence number that each node holds.
     Status,
 }
 
 /// The answer to a [`Call`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// To [`Call::Accept`].
+    /// Answers [`Call::Accept`].
     Accept(accept::Reply),
-    /// To [`Call::Once`].
+    /// Answers [`Call::Once`].
     Once(once::Reply),
-    /// To [`Call::Guard`].
+    /// Answers [`Call::Guard`].
     Guard(guard::Reply),
-    /// To [`Call::Status`].
+    /// Answers [`Call::Status`].
     Status(spread::Status),
 }
 
-/// Something for the driver to do.
+/// An output of the kernel, carried out by the driver.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send over the link; the driver may drop it if the peer cannot be reached.
+    /// Sends a message over the link; the driver may drop it if the peer cannot be reached.
     Send { to: NodeId, message: Message },
-    /// Send as one UDP datagram.
+    /// Sends one UDP datagram.
     Probe { to: NodeId, packet: members::Packet },
-    /// Ask the table; answered by [`Event::Table`].
+    /// Starts an operation on the table; answered by [`Event::Table`].
     Table { call: CallId, op: TableOp },
-    /// Ask the object store; answered by [`Event::Object`].
+    /// Starts an operation on the object store; answered by [`Event::Object`].
     Object { call: CallId, op: ObjectOp },
-    /// Ask the external source whether it holds a newer version, beside the feed that is open.
+    /// Asks the external source for a newer version, independently of the open feed.
     ///
-    /// Answered by [`Event::Confirmed`] or [`Event::Imported`], or by [`Event::Source`] if it does not answer.
+    /// Answered by [`Event::Confirmed`] or [`Event::Imported`], or by [`Event::Source`] if the
+    /// source does not answer.
     CheckSource,
-    /// Answer a call.
+    /// Answers a call.
     Reply { token: Token, reply: Reply },
-    /// Make this view the one that traffic threads read.
+    /// Publishes a view to the traffic threads.
     Publish(Arc<View>),
-    /// The node has left: close every socket and end the process.
+    /// Closes all sockets and ends the process, after the node has left.
     Exit,
-    /// Write one log line: a stable event name and its key=value pairs.
+    /// Writes a log line: a stable event name and its key=value pairs.
     Log {
         event: &'static str,
         pairs: Vec<(&'static str, String)>,
     },
 }
 
-/// What one plug-in tells the others.
+/// A notification from one plug-in to the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// The configuration log was applied up to this sequence number.
     Applied { seq: Seq },
     /// A newer version of the external source is in force.
     Imported,
-    /// This node, a committer, asks the table to accept this sequence number.
+    /// This node, as a committer, proposes this sequence number to the table.
     Proposed { seq: Seq },
-    /// A committer accepted up to this sequence number.
+    /// A committer accepted changes up to this sequence number.
     Accepted { seq: Seq },
-    /// The configuration caught up with what other nodes or the table hold; once in a process.
+    /// The configuration has caught up with the other nodes or the table; raised once in a process.
     Ready,
-    /// The set of members or their phases changed.
+    /// The set of members or a member's phase changed.
     Members,
     /// This node's own record changed.
     Own,
-    /// The quarantined fingerprints changed.
+    /// The set of quarantined fingerprints changed.
     Quarantine,
-    /// The platform's store was put back to an older copy: what was written there of late is gone.
+    /// The platform's store was restored to an older copy; recent writes are lost.
     Restored,
-    /// The node was paused for `lost` ms: leases and views may be out of date.
+    /// The process was paused for `lost` ms: leases and views may have expired.
     Paused { lost: u64 },
 }
--- a/crates/kernel/src/id.rs
+++ b/crates/kernel/src/id.rs
@@ -1,10 +1,10 @@
-//! Small identifiers shared by every module.
+//! Identifiers shared by all modules.
 
 use std::{fmt, net::SocketAddr, str::FromStr, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// A node, identified by its control address (the TCP port of the link and the UDP port of probes).
+/// A node, identified by its control address: the TCP port of the link and the UDP port of probes.
 ///
 /// A process that restarts on the same address is the same node with a higher incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
 )]
 pub struct Revision(pub u64);
 
-/// Chosen by the submitter; makes a submission idempotent.
+/// Id of a submission, chosen by the submitter; makes the submission idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SubmitId(pub u128);
 
@@ -39,16 +39,16 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
-/// The longest [`Name`], in bytes.
+/// Maximum length of a [`Name`], in bytes.
 pub const NAME_MAX: usize = 63;
 
-/// The text is not a valid [`Name`].
+/// Error for a text that is not a valid [`Name`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("name {0:?} is not valid: use 1 to 63 of a-z, 0-9 and '-'")]
 pub struct BadName(pub String);
 
 impl Name {
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -110,7 +110,7 @@
     }
 }
 
-/// The text is not a valid [`SubmitId`].
+/// Error for a text that is not a valid [`SubmitId`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("submission id {0:?} is not valid: use up to 32 hexadecimal digits, as printed by submit")]
 pub struct BadSubmitId(pub String);
--- a/crates/kernel/src/import.rs
+++ b/crates/kernel/src/import.rs
@@ -1,9 +1,9 @@
-//! Import: the configuration comes from an external source, whole, version by version.
+//! Configuration imported from an external source as complete, versioned tables.
 //!
-//! A node with a fast link watches the source by itself ([`Event::Imported`]) and passes what changed on to those that
-//! rely on it (`subscription`). A node with a slow link watches only while nobody tells it: a configuration of thousands of
-//! routes takes such a link for the better part of a second, a difference for a millisecond. Versions only grow, so
-//! whichever way a version comes, a node never moves back within one incarnation.
+//! A node with a fast link watches the source ([`Event::Imported`]) and sends each change to its
+//! subscribers (`subscription`). A node with a slow link watches the source only while it has no
+//! publisher. Versions only grow, so a node never returns to an older one within an incarnation,
+//! whichever way a version arrives.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -24,57 +24,58 @@
 mod subscription;
 mod turn;
 
-use self::{
-    confirmation::Confirmation,
-    parts::{Arriving, PARTS_MAX, pack, unpack},
-    subscription::Subscriptions,
-};
 pub use self::{
-    confirmation::Statement,
+    confirmation::Confirmation,
     parts::PART_MAX,
     subscription::{Access, Status},
     turn::WATCH_FIRST_MS,
 };
+use self::{
+    confirmation::Freshness,
+    parts::{PARTS_MAX, PartialVersion, pack, unpack},
+    subscription::Subscriptions,
+};
 
 inventory::submit! { Plugin { name: "import", order: 16, scope: Scope::Imported, handle } }
 
-/// Longest time that a new process waits until it knows an endpoint of each service, in ms.
+/// Longest time that a new process waits for an endpoint of each service before it becomes ready,
+/// in ms.
 ///
-/// A process that is ready before it knows them refuses its callers' requests, which others would carry. Peers
-/// answer a join within a few round trips; where everything starts at once, upstreams announce themselves within
-/// 1.5 s. After twice that, some service has none.
-pub const SETTLE_MS: u64 = 3_000;
-/// Whether a node watches the source.
+/// A process that becomes ready too early rejects requests that other nodes could have carried.
+/// Peers answer a join within a few round trips, and upstreams announce themselves within 1.5 s.
+pub const READY_TIMEOUT_MS: u64 = 3_000;
+/// When a node watches the source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Watch {
     /// Always.
     #[default]
     Always,
-    /// While nobody tells it of new versions.
+    /// Only while the node has no publisher.
     Fallback,
 }
 
-/// Whether this node is to watch the source now.
+/// Whether this node has to watch the source now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Turn {
-    /// It is.
+    /// It has to.
     Follow,
-    /// Others do it for this node, or it has not started yet.
+    /// It has a publisher, waits for its turn as a standby, or has not started yet.
     #[default]
     Rest,
 }
 
-/// What nodes tell one another of versions.
+/// Messages between nodes about versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// I hold `version`: send me a newer one if you have it, and those that follow for a while.
+    /// Asks for a version newer than `version`, which the sender holds, and subscribes the sender
+    /// to later changes for a while.
     Ask { version: u64, status: Status },
-    /// How the sender learns of versions and what it knows of the newest; answers each question, and is sent to those that
-    /// asked of late when there is news of it.
+    /// How the sender receives versions and its latest confirmation. Answers each `Ask`, and is
+    /// also sent to recent subscribers when a newer confirmation arrives.
     Status(Status),
-    /// What changed, compressed; sent to those that asked of late.
+    /// A compressed [`Difference`] that leads to `version`; sent to recent subscribers.
     Changed { version: u64, bytes: Vec<u8> },
-    /// One of the `parts` parts of `version`, compressed.
+    /// One of the `parts` parts of the compressed `version`.
     Part {
         version: u64,
         part: u16,
@@ -83,13 +84,13 @@
     },
 }
 
-/// What the watch on the source says.
+/// State of the watch on the source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Source {
-    /// Not asked yet, or it does not answer.
+    /// The source was not asked yet or does not answer.
     #[default]
     Lost,
-    /// It answers.
+    /// The source answers.
     Held,
 }
 
@@ -99,49 +100,51 @@
     table: Arc<Table>,
     source: Source,
     /// When the source last answered.
-    answered: Ms,
-    /// Times that it stopped answering.
+    answered_at: Ms,
+    /// Number of times that the source stopped answering.
     losses: u64,
     started: Ms,
     ready: bool,
     turn: Turn,
     subscriptions: Subscriptions,
-    confirmation: Confirmation,
-    arriving: Arriving,
+    freshness: Freshness,
+    partial: PartialVersion,
 }
 
 impl Import {
-    /// The version in force.
+    /// Returns the version in force.
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
 
-    /// Whether the source answered last.
+    /// Returns whether the source answers this node.
     pub fn source(&self) -> Source {
         self.source
     }
 
-    /// Time since the source last answered this process, in ms; since the start if it never did.
+    /// Returns the time since the source last answered this process, or since the start if it never
+    /// did, in ms.
     pub fn silence(&self, now: Ms) -> u64 {
-        now.since(self.answered.max(self.started))
+        now.since(self.answered_at.max(self.started))
     }
 
-    /// Time since the version in force was known to be the newest, in ms.
+    /// Returns the time since the version in force was last confirmed as the newest, in ms.
     pub fn age(&self, now: Ms) -> u64 {
-        self.confirmation.age(now)
+        self.freshness.age(now)
     }
 
-    /// How often the source stopped answering since the process started.
+    /// Returns how often the source stopped answering since the process started.
     pub fn losses(&self) -> u64 {
         self.losses
     }
 
-    /// Whether this node is to watch the source now.
+    /// Returns whether this node has to watch the source now.
     pub fn turn(&self) -> Turn {
         self.turn
     }
 
-    /// Whether this process holds a configuration and knows who serves it, or has looked for them long enough.
+    /// Returns whether this process holds a configuration and either knows an endpoint of each
+    /// service or has waited [`READY_TIMEOUT_MS`] for one.
     pub fn ready(&self) -> bool {
         self.ready
     }
@@ -155,40 +158,42 @@
                 state.import.turn = Turn::Follow;
             }
         }
-        Event::Imported(table) => adopt(cx, state, table, "source"),
-        Event::Source(source) => follow(cx, state, *source),
-        Event::Confirmed { version, age } => confirmation::confirmed(cx, state, *version, *age),
+        Event::Imported(table) => apply_version(cx, state, table, "source"),
+        Event::Source(source) => record_source_state(cx, state, *source),
+        Event::Confirmed { version, age } => {
+            confirmation::handle_confirmed(cx, state, *version, *age)
+        }
         Event::Message {
             from,
             message: event::Message::Import(message),
-        } => received(cx, state, *from, message),
+        } => handle_message(cx, state, *from, message),
         Event::Tick => {
-            settle(cx, state);
+            update_readiness(cx, state);
             subscription::tick(cx, state);
         }
         _ => {}
     }
 }
 
-/// Tells those that rely on this node what changed, whichever way it came: where the source turns all watchers of a
-/// zone away, nobody else there would learn it in time.
-fn pass_on(cx: &mut Context<'_>, state: &State, before: &Table) {
+/// Sends the change since `before` to all subscribers. Versions received from peers are sent on
+/// too: if the source rejects all watchers of a zone, its nodes have no other publisher.
+fn push_difference(cx: &mut Context<'_>, state: &State, before: &Table) {
     let table = &state.import.table;
-    let subscribers = state.import.subscriptions.subscribers();
-    // Where everybody watches, a difference of thousands of routes would be made for nobody.
-    if before.version() == 0 || subscribers.is_empty() {
+    let targets = state.import.subscriptions.push_targets();
+    // Without subscribers, don't compute a difference of possibly thousands of routes.
+    if before.version() == 0 || targets.is_empty() {
         return;
     }
     let difference = Difference::between(before.spec(), table.spec());
     let bytes = match pack(&difference) {
         Ok(it) => it,
-        Err(why) => return refuse(cx, cx.settings.node, table.version(), why),
+        Err(why) => return log_refusal(cx, cx.settings.node, table.version(), why),
     };
     if bytes.len() > PART_MAX {
-        // Those who lack it ask, and get it in parts.
+        // Subscribers that lack the version ask for it and get it in parts.
         return;
     }
-    for to in subscribers {
+    for to in targets {
         let message = Message::Changed {
             version: table.version(),
             bytes: bytes.clone(),
@@ -197,16 +202,16 @@
     }
 }
 
-fn adopt(cx: &mut Context<'_>, state: &mut State, table: &Arc<Table>, from: &'static str) {
+fn apply_version(cx: &mut Context<'_>, state: &mut State, table: &Arc<Table>, from: &'static str) {
     let held = state.import.table.version();
     if table.version() <= held {
         return;
     }
     let before = std::mem::replace(&mut state.import.table, table.clone());
-    state.import.arriving = Arriving::default();
-    state.import.subscriptions.informed(cx.now);
-    let confirmation = &mut state.import.confirmation;
-    confirmation.adopted(cx.now, table.version(), held == 0);
+    state.import.partial = PartialVersion::default();
+    state.import.subscriptions.record_informed(cx.now);
+    let freshness = &mut state.import.freshness;
+    freshness.record_applied(cx.now, table.version(), held == 0);
     let pairs = vec![
         ("version", table.version().to_string()),
         ("before", held.to_string()),
@@ -215,14 +220,14 @@
     ];
     cx.log("config-applied", pairs);
     cx.raise(Notice::Imported);
-    pass_on(cx, state, &before);
+    push_difference(cx, state, &before);
 }
 
-fn follow(cx: &mut Context<'_>, state: &mut State, source: Source) {
+fn record_source_state(cx: &mut Context<'_>, state: &mut State, source: Source) {
     let import = &mut state.import;
     let silent = import.silence(cx.now);
     if source == Source::Held {
-        import.answered = cx.now;
+        import.answered_at = cx.now;
     }
     if import.source == source {
         return;
@@ -241,23 +246,23 @@
     cx.log("config-source", pairs);
 }
 
-fn received(cx: &mut Context<'_>, state: &mut State, from: NodeId, message: &Message) {
+fn handle_message(cx: &mut Context<'_>, state: &mut State, from: NodeId, message: &Message) {
     match message {
         Message::Ask { version, status } => {
-            subscription::asked_by(cx, state, from);
-            subscription::told(cx, state, from, *status);
+            subscription::add_subscriber(cx, state, from);
+            subscription::handle_status(cx, state, from, *status);
             if *version < state.import.table.version() {
-                tell(cx, state, from);
+                send_version(cx, state, from);
             }
-            let status = Message::Status(subscription::status(cx, state));
+            let status = Message::Status(subscription::own_status(cx, state));
             cx.send(from, event::Message::Import(status));
         }
         Message::Status(status) => {
-            state.import.subscriptions.answered_by(cx.now, from);
-            subscription::told(cx, state, from, *status);
-            confirmation::heard(cx, state, from, status.newest);
+            state.import.subscriptions.record_answer(cx.now, from);
+            subscription::handle_status(cx, state, from, *status);
+            confirmation::handle_confirmation(cx, state, from, status.newest);
         }
-        Message::Changed { version, bytes } => changed(cx, state, from, *version, bytes),
+        Message::Changed { version, bytes } => apply_difference(cx, state, from, *version, bytes),
         Message::Part {
             version,
             part,
@@ -267,36 +272,43 @@
             if *version <= state.import.table.version() || *parts > PARTS_MAX || part >= parts {
                 return;
             }
-            if let Some(table) = state.import.arriving.take(*version, *part, *parts, bytes) {
+            if let Some(table) = state.import.partial.add(*version, *part, *parts, bytes) {
                 match table {
-                    Ok(table) => adopt(cx, state, &Arc::new(table), "peer"),
-                    Err(why) => refuse(cx, from, *version, why),
+                    Ok(table) => apply_version(cx, state, &Arc::new(table), "peer"),
+                    Err(why) => log_refusal(cx, from, *version, why),
                 }
             }
         }
     }
 }
 
-/// Takes a difference over, or asks for the whole version if it starts from another than the one held.
-fn changed(cx: &mut Context<'_>, state: &mut State, from: NodeId, version: u64, bytes: &[u8]) {
+/// Applies a difference, or asks for the whole version if the difference starts from another
+/// version than the one held.
+fn apply_difference(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    from: NodeId,
+    version: u64,
+    bytes: &[u8],
+) {
     let held = state.import.table.version();
     if version <= held {
         return;
     }
     let difference: Difference = match unpack(bytes) {
         Ok(it) => it,
-        Err(why) => return refuse(cx, from, version, why),
+        Err(why) => return log_refusal(cx, from, version, why),
     };
     let Some(spec) = difference.apply(state.import.table.spec()) else {
-        return question::ask(cx, state, from);
+        return question::query(cx, state, from);
     };
     match Table::new(spec) {
-        Ok(table) => adopt(cx, state, &Arc::new(table), "peer"),
-        Err(error) => refuse(cx, from, version, error.to_string()),
+        Ok(table) => apply_version(cx, state, &Arc::new(table), "peer"),
+        Err(error) => log_refusal(cx, from, version, error.to_string()),
     }
 }
 
-fn refuse(cx: &mut Context<'_>, from: NodeId, version: u64, why: String) {
+fn log_refusal(cx: &mut Context<'_>, from: NodeId, version: u64, why: String) {
     let pairs = vec![
         ("version", version.to_string()),
         ("from", from.to_string()),
@@ -305,11 +317,11 @@
     cx.log("config-refused", pairs);
 }
 
-fn tell(cx: &mut Context<'_>, state: &State, to: NodeId) {
+fn send_version(cx: &mut Context<'_>, state: &State, to: NodeId) {
     let table = &state.import.table;
     let packed = match pack(table.spec()) {
         Ok(it) => it,
-        Err(why) => return refuse(cx, cx.settings.node, table.version(), why),
+        Err(why) => return log_refusal(cx, cx.settings.node, table.version(), why),
     };
     let parts = packed.len().div_ceil(PART_MAX) as u16;
     for (part, bytes) in (0..parts).zip(packed.chunks(PART_MAX)) {
@@ -323,15 +335,15 @@
     }
 }
 
-/// Makes the process ready, once, when it holds what it needs to serve.
-fn settle(cx: &mut Context<'_>, state: &mut State) {
+/// Makes the process ready, once, when it holds a version and knows the endpoints.
+fn update_readiness(cx: &mut Context<'_>, state: &mut State) {
     if state.import.ready || state.import.table.version() == 0 {
         return;
     }
-    // A source that was put back, or answers from an old copy, may hold less than the peers do.
-    let compared = state.import.subscriptions.answered();
-    let known = state.members.joined() && compared && served(state);
-    if known || cx.now.since(state.import.started) >= SETTLE_MS {
+    // The source may answer from an older copy than the peers hold, so compare with a peer first.
+    let compared = state.import.subscriptions.has_answer();
+    let known = state.members.joined() && compared && all_services_served(state);
+    if known || cx.now.since(state.import.started) >= READY_TIMEOUT_MS {
         state.import.ready = true;
         cx.log(
             "ready",
@@ -341,8 +353,8 @@
     }
 }
 
-/// Whether an endpoint of each service is known.
-fn served(state: &State) -> bool {
+/// Returns whether at least one ready endpoint of each service is known.
+fn all_services_served(state: &State) -> bool {
     let offered: BTreeSet<&Name> = state
         .members
         .alive()
--- a/crates/kernel/src/import/confirmation.rs
+++ b/crates/kernel/src/import/confirmation.rs
@@ -1,9 +1,10 @@
-//! How long ago a node that the source answers said that the version held here is the newest.
+//! Age of the last confirmation that the version held is the newest.
 //!
-//! A feed of the source that has died looks like one on which nothing happens, and so does a node that relies on it. Neither
-//! how a node learns of versions nor how lately it was heard tells them apart; only the age of such a statement does. One
-//! watcher of the fleet asks the source for it, in an order that watchers know of one another, and statements travel from node
-//! to node with their age. Whoever has none that is young enough looks elsewhere, for whatever reason that is.
+//! A dead feed of the source looks like a feed without changes, so neither the way in which a node
+//! receives versions nor its last message shows that it is out of date; only the age of the last
+//! confirmation does. One watcher of the fleet asks the source, in an order that all watchers know,
+//! and confirmations spread from node to node with their age. A node without a recent one queries
+//! other peers.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,113 +15,115 @@
     kernel::{Context, State},
 };
 
-/// Age at which the first watcher asks the source, in ms: over a third of the time in which a version is due.
-const CHECK_MS: u64 = 700;
-/// How much later than the one before it each further watcher asks, in ms: an answer of the source takes less.
+/// Age of the last confirmation at which the first watcher asks the source, in ms.
+const CHECK_AGE_MS: u64 = 700;
+/// How much later each further watcher asks, in ms; longer than the source takes to answer.
 const CHECK_STEP_MS: u64 = 150;
-/// Watchers after which the others ask at the same age as the last of them.
-const CHECK_STEPS: u64 = 4;
-/// Time after which a watcher checks its own feed even if others vouch for its version, in ms.
-const VERIFY_MS: u64 = 5_000;
-/// Age at which a node looks elsewhere, in ms. What is left of the time in which a version is due is enough to be told of a
-/// node that has it and to get it from there.
-pub(super) const LOOK_MS: u64 = 1_000;
-/// Age at which a version may be out of force, in ms: the shortest time in which operators want one to be in force.
+/// Number of such steps; all further watchers ask at the same age.
+const CHECK_STEPS_MAX: u64 = 4;
+/// Time after which a watcher checks its own feed even if others confirm its version, in ms.
+const SELF_CHECK_MS: u64 = 5_000;
+/// Age of the last confirmation at which a node queries other peers, in ms. Leaves enough of
+/// [`OVERDUE_MS`] to find a node with the newest version and to get it there.
+pub(super) const QUERY_AGE_MS: u64 = 1_000;
+/// Age of the last confirmation at which the version held may be out of force, in ms: the shortest
+/// propagation time that operators ask for.
 const OVERDUE_MS: u64 = 2_000;
-/// Time for which a node that knows of a newer version waits for it, in ms: it is mostly on its way.
-const MISSING_MS: u64 = 400;
-/// How much younger than the last one a statement must be to be passed on, in ms. It also ends circles.
-const PASS_MS: u64 = 300;
+/// How long a node waits for a newer version that a peer reported before it asks for it, in ms.
+const MISSING_GRACE_MS: u64 = 400;
+/// How much younger than the last forwarded confirmation one must be to be forwarded, in ms. Also
+/// ends loops between nodes.
+const FORWARD_STEP_MS: u64 = 300;
 
-/// Says that the source held nothing newer than `version` some time ago.
+/// Confirms that the source held nothing newer than `version` `age` ms ago.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Statement {
+pub struct Confirmation {
     /// The newest version.
     pub version: u64,
-    /// How long ago that was, in ms.
+    /// Age of the confirmation, in ms.
     pub age: u64,
 }
 
-/// Whether a node looks elsewhere for a newer version.
+/// What a node has to query its peers for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Need {
-    /// The version held is the newest as far as anybody knows, or is about to be.
+    /// Nothing: the version held is the newest known, or a newer one is probably on its way.
     Nothing,
-    /// Nobody has vouched for the version held of late.
-    Statement,
-    /// A newer one, which this node told of, does not come.
+    /// A confirmation: the last one is too old.
+    Confirmation,
+    /// A newer version, which this peer reported and which has not arrived.
     Version(NodeId),
 }
 
-/// Whether a statement is to be passed on.
+/// Whether a confirmation is forwarded to subscribers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Heard {
-    /// Those that rely on this node may lack it.
-    News,
-    /// They have the like.
-    Known,
+enum Forwarding {
+    /// It is newer than the one that subscribers have.
+    Forward,
+    /// Subscribers have it, or a similar one.
+    Skip,
 }
 
-/// A version that is known of and not held.
+/// A version that is known but not held.
 #[derive(Clone, Copy, Debug)]
 struct Missing {
     version: u64,
     since: Ms,
-    /// Who told of it, until that node was asked for it. It may lack it as well.
-    from: Option<NodeId>,
+    /// The node that reported it, until that node was queried. It may not hold it either.
+    reporter: Option<NodeId>,
 }
 
-/// The newest statement, and what became of it.
+/// The newest confirmation and the checks made since.
 #[derive(Debug, Default)]
-pub(super) struct Confirmation {
-    /// The newest version, as said last.
+pub(super) struct Freshness {
+    /// The newest version known.
     version: u64,
-    /// When it was the newest.
-    at: Ms,
+    /// When it was confirmed to be the newest.
+    confirmed_at: Ms,
     missing: Option<Missing>,
-    /// Time of the statement that was passed on last.
-    passed: Ms,
+    /// When the last forwarded confirmation was made.
+    forwarded_at: Ms,
     /// When the source last confirmed a version to this node itself.
-    verified: Ms,
+    verified_at: Ms,
     /// When this node last asked the source.
-    checked: Ms,
-    /// Whether it was logged that the version held may be out of force.
-    overdue: bool,
-    /// Nodes asked since the last young statement.
-    tried: u64,
+    checked_at: Ms,
+    /// Whether `config-unconfirmed` was logged and `config-confirmed` was not yet.
+    is_unconfirmed: bool,
+    /// Number of queries since the last recent confirmation.
+    queries: u64,
 }
 
-impl Confirmation {
-    /// Time since the version held was known to be the newest, in ms.
+impl Freshness {
+    /// Returns the time since the version held was confirmed as the newest, in ms.
     pub(super) fn age(&self, now: Ms) -> u64 {
-        now.since(self.at)
+        now.since(self.confirmed_at)
     }
 
-    /// What this node can tell others.
-    pub(super) fn statement(&self, now: Ms) -> Statement {
-        Statement {
+    /// Returns the newest confirmation with its present age.
+    pub(super) fn latest(&self, now: Ms) -> Confirmation {
+        Confirmation {
             version: self.version,
             age: self.age(now),
         }
     }
 
-    /// Whether this node, which holds `held`, looks elsewhere.
+    /// Returns what this node, which holds version `held`, has to query its peers for.
     pub(super) fn need(&self, now: Ms, held: u64) -> Need {
         match self.missing {
             _ if held == 0 => Need::Nothing,
-            Some(it) if now.since(it.since) >= MISSING_MS => {
-                it.from.map_or(Need::Statement, Need::Version)
+            Some(it) if now.since(it.since) >= MISSING_GRACE_MS => {
+                it.reporter.map_or(Need::Confirmation, Need::Version)
             }
-            _ if self.age(now) > LOOK_MS => Need::Statement,
+            _ if self.age(now) > QUERY_AGE_MS => Need::Confirmation,
             _ => Need::Nothing,
         }
     }
 
-    /// Notes that a version was taken over.
-    pub(super) fn adopted(&mut self, now: Ms, version: u64, first: bool) {
+    /// Records that `version` was applied.
+    pub(super) fn record_applied(&mut self, now: Ms, version: u64, first: bool) {
         if first {
-            // Nothing is known of its age; it counts from here.
-            self.at = self.at.max(now);
+            // The age of the first version is unknown; it counts from here.
+            self.confirmed_at = self.confirmed_at.max(now);
         }
         let Some(missing) = self.missing.filter(|it| it.version <= version) else {
             return;
@@ -132,97 +135,108 @@
         });
     }
 
-    /// Notes that `peer` was asked for a newer version.
-    pub(super) fn tried(&mut self, peer: NodeId) {
-        self.tried += 1;
+    /// Records that `peer` was queried.
+    pub(super) fn record_query(&mut self, peer: NodeId) {
+        self.queries += 1;
         if let Some(missing) = &mut self.missing {
-            missing.from = missing.from.filter(|it| *it != peer);
+            missing.reporter = missing.reporter.filter(|it| *it != peer);
         }
     }
 
-    fn hear(&mut self, now: Ms, held: u64, from: NodeId, statement: Statement) -> Heard {
-        let at = now - statement.age;
-        // What a source that was put back to an older copy, or a node that is behind, says is of no use here.
-        let newer = (statement.version, at) > (self.version, self.at);
-        if !newer || statement.version == 0 {
-            return Heard::Known;
+    fn record(
+        &mut self,
+        now: Ms,
+        held: u64,
+        from: NodeId,
+        confirmation: Confirmation,
+    ) -> Forwarding {
+        let at = now - confirmation.age;
+        // Ignores a source that was restored to an older copy and peers that are behind.
+        let newer = (confirmation.version, at) > (self.version, self.confirmed_at);
+        if !newer || confirmation.version == 0 {
+            return Forwarding::Skip;
         }
-        self.version = statement.version;
-        self.at = at;
-        if statement.version > held && self.missing.is_none() {
+        self.version = confirmation.version;
+        self.confirmed_at = at;
+        if confirmation.version > held && self.missing.is_none() {
             self.missing = Some(Missing {
-                version: statement.version,
+                version: confirmation.version,
                 since: now,
-                from: Some(from),
+                reporter: Some(from),
             });
         }
-        if at.since(self.passed) < PASS_MS {
-            return Heard::Known;
+        if at.since(self.forwarded_at) < FORWARD_STEP_MS {
+            return Forwarding::Skip;
         }
-        self.passed = at;
-        Heard::News
+        self.forwarded_at = at;
+        Forwarding::Forward
     }
 }
 
-/// The source said, `age` ms ago, that it holds nothing newer than `version`.
-pub(super) fn confirmed(cx: &mut Context<'_>, state: &mut State, version: u64, age: u64) {
-    state.import.answered = cx.now;
-    state.import.confirmation.verified = cx.now;
+/// Handles the source's answer that it held nothing newer than `version` `age` ms ago.
+pub(super) fn handle_confirmed(cx: &mut Context<'_>, state: &mut State, version: u64, age: u64) {
+    state.import.answered_at = cx.now;
+    state.import.freshness.verified_at = cx.now;
     let own = cx.settings.node;
-    heard(cx, state, own, Statement { version, age });
+    handle_confirmation(cx, state, own, Confirmation { version, age });
 }
 
-/// Takes in what `from` says of the newest version, and tells those that rely on this node.
-pub(super) fn heard(cx: &mut Context<'_>, state: &mut State, from: NodeId, statement: Statement) {
+/// Handles a confirmation sent by `from` and forwards it to subscribers if it is newer.
+pub(super) fn handle_confirmation(
+    cx: &mut Context<'_>,
+    state: &mut State,
+    from: NodeId,
+    confirmation: Confirmation,
+) {
     let held = state.import.table.version();
-    let confirmation = &mut state.import.confirmation;
-    match confirmation.hear(cx.now, held, from, statement) {
-        Heard::Known => {}
-        Heard::News => subscription::tell_status(cx, state, from),
+    let freshness = &mut state.import.freshness;
+    match freshness.record(cx.now, held, from, confirmation) {
+        Forwarding::Skip => {}
+        Forwarding::Forward => subscription::send_status(cx, state, from),
     }
 }
 
-/// Asks the source if it is time to, and logs whether the version held may be out of force.
+/// Asks the source if a check is due, and logs whether the version held may be out of force.
 ///
-/// `before` counts the watchers that ask before this one.
-pub(super) fn tick(cx: &mut Context<'_>, state: &mut State, before: usize) {
-    check(cx, state, before);
+/// `earlier` is the number of watchers that ask before this one.
+pub(super) fn tick(cx: &mut Context<'_>, state: &mut State, earlier: usize) {
+    check_source(cx, state, earlier);
     let held = state.import.table.version();
-    let confirmation = &mut state.import.confirmation;
-    let age = confirmation.age(cx.now);
-    let pairs = |tried: u64| {
+    let freshness = &mut state.import.freshness;
+    let age = freshness.age(cx.now);
+    let pairs = |queries: u64| {
         vec![
             ("version", held.to_string()),
             ("age_ms", age.to_string()),
-            ("tried", tried.to_string()),
+            ("tried", queries.to_string()),
         ]
     };
-    let overdue = std::mem::take(&mut confirmation.overdue);
-    if age < LOOK_MS {
-        if overdue {
-            cx.log("config-confirmed", pairs(confirmation.tried));
+    let was_unconfirmed = std::mem::take(&mut freshness.is_unconfirmed);
+    if age < QUERY_AGE_MS {
+        if was_unconfirmed {
+            cx.log("config-confirmed", pairs(freshness.queries));
         }
-        confirmation.tried = 0;
+        freshness.queries = 0;
         return;
     }
-    confirmation.overdue = overdue || held > 0 && age >= OVERDUE_MS;
-    if confirmation.overdue && !overdue {
-        cx.log("config-unconfirmed", pairs(confirmation.tried));
+    freshness.is_unconfirmed = was_unconfirmed || held > 0 && age >= OVERDUE_MS;
+    if freshness.is_unconfirmed && !was_unconfirmed {
+        cx.log("config-unconfirmed", pairs(freshness.queries));
     }
 }
 
-fn check(cx: &mut Context<'_>, state: &mut State, before: usize) {
+fn check_source(cx: &mut Context<'_>, state: &mut State, earlier: usize) {
     let import = &mut state.import;
     if import.turn == Turn::Rest || import.source == Source::Lost {
         return;
     }
-    let confirmation = &mut import.confirmation;
-    let steps = CHECK_STEPS.min(before as u64);
-    let due = confirmation.age(cx.now) >= CHECK_MS + steps * CHECK_STEP_MS
-        || cx.now.since(confirmation.verified) >= VERIFY_MS;
-    if !due || cx.now.since(confirmation.checked) < CHECK_MS {
+    let freshness = &mut import.freshness;
+    let steps = CHECK_STEPS_MAX.min(earlier as u64);
+    let due = freshness.age(cx.now) >= CHECK_AGE_MS + steps * CHECK_STEP_MS
+        || cx.now.since(freshness.verified_at) >= SELF_CHECK_MS;
+    if !due || cx.now.since(freshness.checked_at) < CHECK_AGE_MS {
         return;
     }
-    confirmation.checked = cx.now;
+    freshness.checked_at = cx.now;
     cx.check_source();
 }
--- a/crates/kernel/src/import/parts.rs
+++ b/crates/kernel/src/import/parts.rs
@@ -1,4 +1,4 @@
-//! Versions and differences as bytes: packed, cut into parts of one message each, and put together again.
+//! Compression of versions and differences, and their transfer in parts of one message each.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,23 @@
 
 use crate::routing::{Spec, Table};
 
-/// Most bytes of a version in one message; under the longest frame of the link.
+/// Maximum length of a part in bytes; shorter than the longest frame of the link.
 pub const PART_MAX: usize = 48 * 1024;
-/// Most parts that are taken of one version: 4 MiB, some hundred times the largest configuration expected.
+/// Maximum number of parts of one version: 4 MiB in total.
 pub(super) const PARTS_MAX: u16 = 85;
-/// Compression level: the fastest; a version is packed once per question.
-const LEVEL: i32 = 1;
+/// Compression level of zstd: the fastest, because a version is compressed once per question.
+const ZSTD_LEVEL: i32 = 1;
 
-/// Parts of a newer version that have arrived.
+/// Parts received of a newer version.
 #[derive(Debug, Default)]
-pub(super) struct Arriving {
+pub(super) struct PartialVersion {
     version: u64,
     parts: BTreeMap<u16, Vec<u8>>,
 }
 
-impl Arriving {
-    /// Takes one part; the table once all are here, or why they do not make one.
-    pub(super) fn take(
+impl PartialVersion {
+    /// Adds one part. Returns the table once all parts are here, or why they make no valid table.
+    pub(super) fn add(
         &mut self,
         version: u64,
         part: u16,
@@ -30,7 +30,7 @@
         bytes: &[u8],
     ) -> Option<Result<Table, String>> {
         if self.version != version {
-            *self = Arriving {
+            *self = PartialVersion {
                 version,
                 parts: BTreeMap::new(),
             };
@@ -43,27 +43,30 @@
             .into_values()
             .flatten()
             .collect();
-        Some(whole(&packed, version))
+        Some(assemble(&packed, version))
     }
 }
 
-/// `it` as compressed bytes, or why that failed.
+/// Serializes and compresses `it`.
 pub(super) fn pack<T: Serialize>(it: &T) -> Result<Vec<u8>, String> {
     let bytes = postcard::to_stdvec(it).map_err(|it| it.to_string())?;
-    zstd::bulk::compress(&bytes, LEVEL).map_err(|it| it.to_string())
+    zstd::bulk::compress(&bytes, ZSTD_LEVEL).map_err(|it| it.to_string())
 }
 
-/// What [`pack`] made bytes of, or why they do not read.
+/// Reads what [`pack`] has written.
 pub(super) fn unpack<T: DeserializeOwned>(packed: &[u8]) -> Result<T, String> {
     let longest = PART_MAX * usize::from(PARTS_MAX);
     let bytes = zstd::bulk::decompress(packed, longest).map_err(|it| it.to_string())?;
     postcard::from_bytes(&bytes).map_err(|it| it.to_string())
 }
 
-fn whole(packed: &[u8], version: u64) -> Result<Table, String> {
+fn assemble(packed: &[u8], version: u64) -> Result<Table, String> {
     let spec: Spec = unpack(packed)?;
     if spec.version != version {
-        return Err(format!("its parts hold version {}", spec.version));
+        return Err(format!(
+            "the parts of version {version} hold version {}: send it again",
+            spec.version
+        ));
     }
     Table::new(spec).map_err(|it| it.to_string())
 }
--- a/crates/kernel/src/import/question.rs
+++ b/crates/kernel/src/import/question.rs
@@ -1,6 +1,7 @@
-//! Whom a node asks for newer versions, and when.
+//! Chooses the peers that a node queries for newer versions, and when.
 //!
-//! In calm it asks whom it relies on, which keeps it on that node's list. Without a young confirmation it asks around.
+//! While its version is confirmed, a node queries its publisher, which keeps it subscribed.
+//! Otherwise it queries several peers.
 
 use rand::{
     Rng,
@@ -10,8 +11,10 @@
 use super::{
     Message, Turn,
     confirmation::Need,
-    subscription::{ASK_MS, Access, Publisher, Subscriptions, access, before, status},
-    turn::{STANDBYS, is_scout, standbys},
+    subscription::{
+        Access, Publisher, QUERY_MS, Subscriptions, access, earlier_watchers, own_status,
+    },
+    turn::{STANDBYS_PER_STEP, queries_remote, standbys},
 };
 use crate::{
     event,
@@ -21,155 +24,164 @@
     utils::rendezvous,
 };
 
-/// Mean time between two questions of a watcher that the source answers, in ms.
-const ASK_HELD_MS: u64 = 2_000;
-/// The same for a node that nobody tells or vouches to, in ms.
-const ASK_UNINFORMED_MS: u64 = 250;
-/// One question in this many goes to a peer abroad, since a zone may be behind as a whole.
-const ABROAD: u32 = 8;
+/// Mean time between two queries of a watcher that the source answers, in ms.
+const QUERY_DIRECT_MS: u64 = 2_000;
+/// The same for a node without a publisher or a recent confirmation, in ms.
+const QUERY_UNINFORMED_MS: u64 = 250;
+/// One query in this many goes to a peer in another zone, since a whole zone may be behind.
+const REMOTE_RATIO: u32 = 8;
 /// The same for a node that watches the source.
-const ABROAD_WATCHING: u32 = 2;
-/// A watcher that the source answers asks another node than the first of them once in this many times.
-const EXPLORE: u32 = 4;
-/// Share of the time without a confirmation between two rounds of questions.
-const LOOK_SHARE: u64 = 8;
-/// Peers that a node asks without knowing how they learn of versions, in its own zone and abroad. They are the same few each time: a
-/// first message to a node opens a connection, which takes ten times the bytes.
-const PARTNERS: usize = 2;
+const REMOTE_RATIO_WATCHING: u32 = 2;
+/// A watcher that the source answers queries another node than the first watcher once in this many
+/// times.
+const EXPLORE_RATIO: u32 = 4;
+/// Divisor of the time without a confirmation that gives the time between two rounds of queries.
+const QUERY_AGE_DIVISOR: u64 = 8;
+/// Number of peers, in its own zone and in others, that a node queries without knowing how they
+/// receive versions. They stay the same: a first message to a node opens a connection, which takes
+/// ten times the bytes.
+const FIXED_PEERS: usize = 2;
 
-/// Asks if it is time to.
-pub(super) fn ask_somebody(cx: &mut Context<'_>, state: &mut State) {
+/// Queries peers if a query is due.
+pub(super) fn query_if_due(cx: &mut Context<'_>, state: &mut State) {
     let held = state.import.table.version();
-    let need = state.import.confirmation.need(cx.now, held);
+    let need = state.import.freshness.need(cx.now, held);
     let gap = match (need, access(state)) {
-        // Where a whole fleet is without the source, each of them asks the less often the longer it lasts.
-        (Need::Statement | Need::Version(_), _) => {
-            let age = state.import.confirmation.age(cx.now);
-            (age / LOOK_SHARE).clamp(ASK_UNINFORMED_MS, ASK_MS)
+        // Back off with the age, or a whole fleet without the source would keep querying itself.
+        (Need::Confirmation | Need::Version(_), _) => {
+            let age = state.import.freshness.age(cx.now);
+            (age / QUERY_AGE_DIVISOR).clamp(QUERY_UNINFORMED_MS, QUERY_MS)
         }
-        // Nobody has compared versions with it yet, and it is not ready before.
-        _ if !state.import.subscriptions.answered() => ASK_UNINFORMED_MS,
-        (_, Access::Direct) => ASK_HELD_MS,
-        (_, Access::Relayed) => ASK_MS,
+        // No peer has compared versions yet, and the node is not ready before.
+        _ if !state.import.subscriptions.has_answer() => QUERY_UNINFORMED_MS,
+        (_, Access::Direct) => QUERY_DIRECT_MS,
+        (_, Access::Relayed) => QUERY_MS,
         (_, Access::None)
             if !state.import.subscriptions.publishers.is_empty()
                 && state.import.turn == Turn::Rest =>
         {
-            ASK_MS
+            QUERY_MS
         }
-        (_, Access::None) => ASK_UNINFORMED_MS,
+        (_, Access::None) => QUERY_UNINFORMED_MS,
     };
-    if cx.now.since(state.import.subscriptions.asked) < gap {
+    if cx.now.since(state.import.subscriptions.queried_at) < gap {
         return;
     }
-    // Jitter, so that a herd that started together does not ask in step.
-    state.import.subscriptions.asked = cx.now - cx.rng.random_range(0..=gap / 4);
+    // Jitter, so that nodes that started together don't query at the same time.
+    state.import.subscriptions.queried_at = cx.now - cx.rng.random_range(0..=gap / 4);
     let peers = match need {
-        Need::Nothing => whom_to_ask_in_calm(cx, state),
-        // Several would all send the whole version.
+        Need::Nothing => choose_peers_when_fresh(cx, state),
+        // Only one, because each peer would send the whole version.
         Need::Version(from) if from != cx.settings.node => vec![from],
-        Need::Statement | Need::Version(_) => whom_to_ask_around(cx, state),
+        Need::Confirmation | Need::Version(_) => choose_peers_when_stale(cx, state),
     };
     for peer in peers {
-        state.import.confirmation.tried(peer);
-        ask(cx, state, peer);
+        state.import.freshness.record_query(peer);
+        query(cx, state, peer);
     }
 }
 
-/// Asks `peer` for a newer version.
-pub(super) fn ask(cx: &mut Context<'_>, state: &mut State, peer: NodeId) {
+/// Queries `peer` for a newer version.
+pub(super) fn query(cx: &mut Context<'_>, state: &mut State, peer: NodeId) {
     state
         .import
         .subscriptions
-        .open
+        .pending
         .entry(peer)
         .or_insert(cx.now);
     let message = Message::Ask {
         version: state.import.table.version(),
-        status: status(cx, state),
+        status: own_status(cx, state),
     };
     cx.send(peer, event::Message::Import(message));
 }
 
-/// Whom to ask for a newer version: one that tells this node, if there is one, else somebody who may know one.
-fn whom_to_ask(cx: &mut Context<'_>, state: &mut State) -> Option<NodeId> {
+/// Chooses a peer to query: a publisher if there is one, else a peer that may know one.
+fn choose_peer(cx: &mut Context<'_>, state: &mut State) -> Option<NodeId> {
     let own = cx.settings.node;
-    if let Some(hinted) = state.import.subscriptions.hinted.take() {
-        return Some(hinted);
+    if let Some(hint) = state.import.subscriptions.hint.take() {
+        return Some(hint);
     }
     let access = access(state);
     let subscriptions = &state.import.subscriptions;
-    let heard = |id| !subscriptions.silent.contains_key(&id);
-    let (near, abroad) = peers(cx, state, heard);
+    let responsive = |id| !subscriptions.unresponsive.contains_key(&id);
+    let (near, remote) = peers(cx, state, responsive);
     let uninformed = subscriptions.publishers.is_empty() && access != Access::Direct;
-    // Those who watch meet across zones, so that only one of them all asks the source.
-    let every = match state.import.turn {
-        Turn::Follow => ABROAD_WATCHING,
-        Turn::Rest => ABROAD,
+    // Watchers find one another across zones, so that only one of them asks the source.
+    let ratio = match state.import.turn {
+        Turn::Follow => REMOTE_RATIO_WATCHING,
+        Turn::Rest => REMOTE_RATIO,
     };
     if !uninformed && access != Access::Direct {
-        return best(cx, subscriptions, &near);
+        return choose_publisher(cx, subscriptions, &near);
     }
-    if cx.rng.random_ratio(1, every) || near.is_empty() {
-        // Two that are always the same may both belong to zones that lost the source as well.
+    if cx.rng.random_ratio(1, ratio) || near.is_empty() {
+        // The fixed peers may all belong to zones that lost the source as well.
         let found = match uninformed {
-            true => abroad.choose(cx.rng).map(|it| it.id),
-            false => partners(own, &abroad).choose(cx.rng).copied(),
+            true => remote.choose(cx.rng).map(|it| it.id),
+            false => fixed_peers(own, &remote).choose(cx.rng).copied(),
         };
         if found.is_some() {
             return found;
         }
     }
-    let mut near = partners(own, &near);
+    let mut near = fixed_peers(own, &near);
     if uninformed {
         let first = standbys(cx, state).into_iter().filter(|it| *it != own);
-        near.extend(first.take(STANDBYS));
+        near.extend(first.take(STANDBYS_PER_STEP));
     }
     near.choose(cx.rng).copied()
 }
 
-/// Whom to ask if the version held is the newest as far as is known. A watcher that the source answers stays with the first of
-/// them all, which vouches for its version, and looks now and then whether there is another one before it.
-fn whom_to_ask_in_calm(cx: &mut Context<'_>, state: &mut State) -> Vec<NodeId> {
+/// Chooses the peers to query while the version held is confirmed. A watcher that the source
+/// answers queries the first watcher, whose confirmations it uses, and sometimes looks for an
+/// earlier one.
+fn choose_peers_when_fresh(cx: &mut Context<'_>, state: &mut State) -> Vec<NodeId> {
     let first = match access(state) {
-        Access::Direct => before(cx, state).min().map(|(_, id)| id),
+        Access::Direct => earlier_watchers(cx, state).min().map(|(_, id)| id),
         Access::Relayed | Access::None => None,
     };
-    let mut whom = Vec::from_iter(first);
-    if first.is_none() || cx.rng.random_ratio(1, EXPLORE) {
-        whom.extend(whom_to_ask(cx, state));
+    let mut chosen = Vec::from_iter(first);
+    if first.is_none() || cx.rng.random_ratio(1, EXPLORE_RATIO) {
+        chosen.extend(choose_peer(cx, state));
     }
-    whom
+    chosen
 }
 
-/// Whom to ask if nobody vouches for the version held, however those that tell this node see themselves: whom it relies on, one
-/// more nearby, and one abroad if it is among those that look there for their zone.
-fn whom_to_ask_around(cx: &mut Context<'_>, state: &mut State) -> Vec<NodeId> {
-    let hinted = state.import.subscriptions.hinted.take();
+/// Chooses the peers to query without a recent confirmation: the watchers known, one more peer in
+/// this zone, and one in another zone if this node queries there for its zone.
+fn choose_peers_when_stale(cx: &mut Context<'_>, state: &mut State) -> Vec<NodeId> {
+    let hint = state.import.subscriptions.hint.take();
     let own = cx.settings.node;
-    let looks_abroad = state.import.turn == Turn::Follow || is_scout(cx, state);
+    let includes_remote = state.import.turn == Turn::Follow || queries_remote(cx, state);
     let subscriptions = &state.import.subscriptions;
-    // While one that was asked may still answer, another one is of more use.
-    let (near, abroad) = peers(cx, state, |id| subscriptions.answers(id, own));
-    let mut whom = Vec::from_iter(hinted);
-    // Those that it relies on should have vouched by now: whether they are still there tells whether others are to watch.
+    // Skips peers that have not answered yet.
+    let (near, remote) = peers(cx, state, |id| subscriptions.is_responsive(id, own));
+    let mut chosen = Vec::from_iter(hint);
+    // The watchers should have sent a confirmation by now. Whether they still answer decides if
+    // standbys take over.
     let sources = subscriptions.sources().map(|(_, id)| id);
-    whom.extend(sources.filter(|it| subscriptions.answers(*it, own)));
-    whom.extend(near.choose(cx.rng).map(|it| it.id));
-    if looks_abroad || near.is_empty() {
-        whom.extend(abroad.choose(cx.rng).map(|it| it.id));
+    chosen.extend(sources.filter(|it| subscriptions.is_responsive(*it, own)));
+    chosen.extend(near.choose(cx.rng).map(|it| it.id));
+    if includes_remote || near.is_empty() {
+        chosen.extend(remote.choose(cx.rng).map(|it| it.id));
     }
-    whom.sort_unstable();
-    whom.dedup();
-    whom
+    chosen.sort_unstable();
+    chosen.dedup();
+    chosen
 }
 
-/// One of those that tell this node: near ones before others, and nodes that the source answers before those that are told.
-fn best(cx: &mut Context<'_>, subscriptions: &Subscriptions, near: &[&Record]) -> Option<NodeId> {
+/// Chooses a publisher: recently confirmed ones first, then watchers that the source answers, then
+/// those in this zone.
+fn choose_publisher(
+    cx: &mut Context<'_>,
+    subscriptions: &Subscriptions,
+    near: &[&Record],
+) -> Option<NodeId> {
     let now = cx.now;
     let rank = |id: &NodeId, it: &Publisher| {
-        let abroad = !near.iter().any(|it| it.id == *id);
-        (it.stale(now), it.access != Access::Direct, abroad)
+        let remote = !near.iter().any(|it| it.id == *id);
+        (it.is_stale(now), it.access != Access::Direct, remote)
     };
     let least = subscriptions
         .publishers
@@ -183,7 +195,7 @@
     best.map(|(id, _)| *id).choose(cx.rng)
 }
 
-/// The peers that `wanted` holds for, in the own zone and abroad.
+/// Returns the peers that `wanted` holds for, in this zone and in other zones.
 fn peers<'a>(
     cx: &Context<'_>,
     state: &'a State,
@@ -195,9 +207,9 @@
     peers.partition(|it| it.zone == cx.settings.zone)
 }
 
-/// The peers that `own` asks, among those given, without knowing more of them.
-fn partners(own: NodeId, peers: &[&Record]) -> Vec<NodeId> {
+/// Returns the few of `peers` that `own` always queries.
+fn fixed_peers(own: NodeId, peers: &[&Record]) -> Vec<NodeId> {
     let mut ranked = rendezvous(&format!("import/{own}"), peers.iter().map(|it| it.id));
-    ranked.truncate(PARTNERS);
+    ranked.truncate(FIXED_PEERS);
     ranked
 }
--- a/crates/kernel/src/import/subscription.rs
+++ b/crates/kernel/src/import/subscription.rs
@@ -1,18 +1,19 @@
-//! Who tells this node of new versions, and whom it tells.
+//! Publishers that send new versions to this node, and subscribers that it sends them to.
 //!
-//! Versions come from nodes that the source answers. A node asks one of them now and then, which also puts it on that
-//! node's list: it is told of each change at once until it no longer asks. A node that the source turns away finds one that
-//! it answers, also abroad, by asking around: whoever is asked names one that it knows. What it is told it passes
-//! on to those that ask it. Only the own word of a node tells how it learns, and a question without an answer ends the
-//! belief in it, so no two nodes can go on relying on each other after both have lost the source.
+//! Versions come from watchers that the source answers. A node queries a publisher from time to
+//! time, which also subscribes it: until the subscription lapses it is sent each change at once. A
+//! watcher that the source rejects queries peers, also in other zones, until one names a watcher
+//! that the source answers. Received changes are sent on to the node's own subscribers. Only a
+//! node's own status tells how it receives versions, and an unanswered query removes the publisher,
+//! so two nodes that have both lost the source don't keep relying on each other.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Message, Source, Statement, Turn, Watch,
-    confirmation::{self, LOOK_MS},
+    Confirmation, Message, Source, Turn, Watch,
+    confirmation::{self, QUERY_AGE_MS},
     question, turn,
 };
 use crate::{
@@ -23,94 +24,95 @@
     members::Reach,
 };
 
-/// Mean time between two questions of a node that somebody tells, in ms.
+/// Mean time between two queries of a node with a publisher, in ms.
 ///
-/// It bounds how long a node stays behind whose access has ended unnoticed; a question takes about 100 bytes.
-pub(super) const ASK_MS: u64 = 1_000;
-/// Time in which a question is answered, in ms: several round trips and the ticks of a busy node.
-const ANSWER_MS: u64 = 700;
-/// Age at which the word of a node counts for nothing, in ms: it was asked for a newer one several times since.
-const STALE_MS: u64 = 4_500;
-/// How long a node that asked is told of changes, in ms: one of its questions may be lost.
-const SUBSCRIBED_MS: u64 = 2_500;
-/// How long one that did not answer is not asked again, in ms, while there are others.
-const SILENT_MS: u64 = 2_000;
+/// Bounds how long a node stays behind after its publisher lost the source unnoticed.
+pub(super) const QUERY_MS: u64 = 1_000;
+/// Time within which a query is answered, in ms: several round trips and the ticks of a busy node.
+const ANSWER_TIMEOUT_MS: u64 = 700;
+/// Age at which a publisher's status expires, in ms; several queries fit into it.
+const PUBLISHER_EXPIRY_MS: u64 = 4_500;
+/// How long a subscription lasts after a query, in ms; one lost query does not end it.
+const SUBSCRIPTION_MS: u64 = 2_500;
+/// How long a peer that did not answer is not queried while there are others, in ms.
+const UNRESPONSIVE_MS: u64 = 2_000;
 
-/// How a node learns of new versions.
+/// How a node receives new versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Access {
-    /// Nobody tells it.
+    /// It has no publisher.
     #[default]
     None,
-    /// A node that the source answers tells it.
+    /// From a watcher that the source answers.
     Relayed,
-    /// The source answers it.
+    /// From the source itself.
     Direct,
 }
 
-/// What a node says of itself with each answer.
+/// Status of a node, sent with each answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// How it learns of versions.
+    /// How it receives versions.
     pub access: Access,
-    /// Whether it watches the source for good.
+    /// When it watches the source.
     pub watch: Watch,
-    /// A node that the source answers, if it knows one: the first in the order in which watchers ask the source.
+    /// A watcher that the source answers, if it knows one: the first in the order in which watchers
+    /// ask the source.
     pub source: Option<NodeId>,
-    /// What it knows of the newest version.
-    pub newest: Statement,
+    /// Its latest confirmation.
+    pub newest: Confirmation,
 }
 
-/// A node that tells this one, by its own last word.
+/// A node that sends versions to this one, by its own last status.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Publisher {
     pub access: Access,
     pub watch: Watch,
-    heard: Ms,
-    /// When the version it knows of was the newest.
-    newest: Ms,
+    reported_at: Ms,
+    /// When its version was last confirmed as the newest.
+    confirmed_at: Ms,
 }
 
 impl Publisher {
-    /// Whether it has not heard that its version is the newest for longer than it should.
-    pub(super) fn stale(&self, now: Ms) -> bool {
-        now.since(self.newest) > LOOK_MS + ASK_MS
+    /// Returns whether its last confirmation is older than it should be.
+    pub(super) fn is_stale(&self, now: Ms) -> bool {
+        now.since(self.confirmed_at) > QUERY_AGE_MS + QUERY_MS
     }
 }
 
-/// Who tells this node, and whom it tells.
+/// Publishers and subscribers of this node.
 #[derive(Debug, Default)]
 pub(super) struct Subscriptions {
     pub publishers: BTreeMap<NodeId, Publisher>,
-    /// Questions without an answer, by whom was asked and when first.
-    pub open: BTreeMap<NodeId, Ms>,
-    /// Nodes that did not answer, and when that was noticed.
-    pub silent: BTreeMap<NodeId, Ms>,
-    /// Nodes that asked, and when last.
+    /// Unanswered queries: the peer and when it was first queried.
+    pub pending: BTreeMap<NodeId, Ms>,
+    /// Peers that did not answer in time, and when that was noticed.
+    pub unresponsive: BTreeMap<NodeId, Ms>,
+    /// Subscribers and the time of their last query.
     subscribers: BTreeMap<NodeId, Ms>,
-    /// One that the source answers, as another said; it is asked next.
-    pub hinted: Option<NodeId>,
-    pub asked: Ms,
-    /// When anybody last answered.
-    pub answered: Option<Ms>,
-    /// When somebody last told this node.
-    pub informed: Ms,
+    /// A watcher that a peer named; queried next.
+    pub hint: Option<NodeId>,
+    pub queried_at: Ms,
+    /// When a peer last answered.
+    pub answered_at: Option<Ms>,
+    /// When this node last had a publisher or received a version.
+    pub informed_at: Ms,
 }
 
 impl Subscriptions {
-    /// Whether anybody has answered this process yet.
-    pub(super) fn answered(&self) -> bool {
-        self.answered.is_some()
+    /// Returns whether a peer has answered this process yet.
+    pub(super) fn has_answer(&self) -> bool {
+        self.answered_at.is_some()
     }
 
-    /// All that asked of late.
-    fn askers(&self) -> Vec<NodeId> {
+    /// Returns all subscribers.
+    fn all_subscribers(&self) -> Vec<NodeId> {
         self.subscribers.keys().copied().collect()
     }
 
-    /// Those to be told of a change: they asked of late, and the source does not answer them.
-    pub(super) fn subscribers(&self) -> Vec<NodeId> {
-        let held = |id: &NodeId| {
+    /// Returns the subscribers to send a change to: those that the source does not answer.
+    pub(super) fn push_targets(&self) -> Vec<NodeId> {
+        let is_direct = |id: &NodeId| {
             self.publishers
                 .get(id)
                 .is_some_and(|it| it.access == Access::Direct)
@@ -118,62 +120,64 @@
         self.subscribers
             .keys()
             .copied()
-            .filter(|it| !held(it))
+            .filter(|it| !is_direct(it))
             .collect()
     }
 
-    /// Whether `peer`, which `own` is not, answered what it was asked.
-    pub(super) fn answers(&self, peer: NodeId, own: NodeId) -> bool {
-        peer != own && !self.open.contains_key(&peer) && !self.silent.contains_key(&peer)
+    /// Returns whether `peer` is another node than `own` and no query to it is pending or timed
+    /// out.
+    pub(super) fn is_responsive(&self, peer: NodeId, own: NodeId) -> bool {
+        peer != own && !self.pending.contains_key(&peer) && !self.unresponsive.contains_key(&peer)
     }
 
-    /// Notes that somebody told this node something new.
-    pub(super) fn informed(&mut self, now: Ms) {
-        self.informed = now;
+    /// Records that this node has a publisher or received a version.
+    pub(super) fn record_informed(&mut self, now: Ms) {
+        self.informed_at = now;
     }
 
-    /// Notes an answer of `from`.
-    pub(super) fn answered_by(&mut self, now: Ms, from: NodeId) {
-        self.open.remove(&from);
-        self.silent.remove(&from);
-        self.answered = Some(now);
+    /// Records an answer of `from`.
+    pub(super) fn record_answer(&mut self, now: Ms, from: NodeId) {
+        self.pending.remove(&from);
+        self.unresponsive.remove(&from);
+        self.answered_at = Some(now);
     }
 
-    /// Forgets whoever did not answer in time, is stale, or cannot be reached.
+    /// Removes peers that did not answer in time, are expired, or cannot be reached.
     fn expire(&mut self, now: Ms, reach: impl Fn(NodeId) -> Option<Reach>) {
-        let late: Vec<NodeId> = self
-            .open
+        let timed_out: Vec<NodeId> = self
+            .pending
             .iter()
-            .filter(|(_, since)| now.since(**since) >= ANSWER_MS)
+            .filter(|(_, since)| now.since(**since) >= ANSWER_TIMEOUT_MS)
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
-            self.open.remove(&id);
+        for id in timed_out {
+            self.pending.remove(&id);
             self.publishers.remove(&id);
-            self.silent.insert(id, now);
+            self.unresponsive.insert(id, now);
         }
-        // One that has left would be asked in vain for as long as it is remembered, in place of those who are there.
-        let there = |id| matches!(reach(id), Some(it) if it != Reach::Unreachable);
+        // A node that has left would be queried in vain until its entry expires.
+        let is_reachable = |id| matches!(reach(id), Some(it) if it != Reach::Unreachable);
         self.publishers
-            .retain(|id, it| now.since(it.heard) < STALE_MS && there(*id));
-        self.silent.retain(|_, since| now.since(*since) < SILENT_MS);
+            .retain(|id, it| now.since(it.reported_at) < PUBLISHER_EXPIRY_MS && is_reachable(*id));
+        self.unresponsive
+            .retain(|_, since| now.since(*since) < UNRESPONSIVE_MS);
         self.subscribers
-            .retain(|id, since| now.since(*since) < SUBSCRIBED_MS && there(*id));
+            .retain(|id, since| now.since(*since) < SUBSCRIPTION_MS && is_reachable(*id));
     }
 
-    /// A node that the source answers.
-    pub(super) fn source(&self) -> Option<NodeId> {
+    /// Returns the first watcher that the source answers.
+    pub(super) fn first_source(&self) -> Option<NodeId> {
         self.sources().min().map(|(_, id)| id)
     }
 
-    /// One that has vouched for its version of late.
-    pub(super) fn vouching(&self, now: Ms) -> Option<NodeId> {
+    /// Returns the first watcher that the source answers and whose confirmation is recent.
+    pub(super) fn fresh_source(&self, now: Ms) -> Option<NodeId> {
         let ids = self.sources().map(|(_, id)| id);
-        ids.filter(|id| !self.publishers[id].stale(now)).min()
+        ids.filter(|id| !self.publishers[id].is_stale(now)).min()
     }
 
-    /// The nodes that the source answers, in the order in which they ask it. One that watches for good goes first, for a
-    /// standby rests again soon.
+    /// Returns the watchers that the source answers, in the order in which they ask it. Permanent
+    /// watchers come first, since standbys soon stop.
     pub(super) fn sources(&self) -> impl Iterator<Item = (Watch, NodeId)> {
         let direct = |it: &&Publisher| it.access == Access::Direct;
         let publishers = self.publishers.iter();
@@ -183,118 +187,123 @@
     }
 }
 
-/// How this node learns of versions.
+/// Returns how this node receives versions.
 pub(super) fn access(state: &State) -> Access {
     let import = &state.import;
     if import.turn == Turn::Follow && import.source == Source::Held {
         return Access::Direct;
     }
-    match import.subscriptions.source() {
+    match import.subscriptions.first_source() {
         Some(_) => Access::Relayed,
         None => Access::None,
     }
 }
 
-/// What this node says of itself.
-pub(super) fn status(cx: &Context<'_>, state: &State) -> Status {
+/// Returns the status that this node sends to others.
+pub(super) fn own_status(cx: &Context<'_>, state: &State) -> Status {
     let access = access(state);
     let import = &state.import;
     let first = match access {
-        Access::Direct => before(cx, state).min().map(|(_, id)| id),
-        Access::Relayed | Access::None => import.subscriptions.vouching(cx.now),
+        Access::Direct => earlier_watchers(cx, state).min().map(|(_, id)| id),
+        Access::Relayed | Access::None => import.subscriptions.fresh_source(cx.now),
     };
     Status {
         access,
         watch: cx.settings.watch,
         source: match access {
             Access::Direct => Some(first.unwrap_or(cx.settings.node)),
-            Access::Relayed | Access::None => first.or(import.subscriptions.source()),
+            Access::Relayed | Access::None => first.or(import.subscriptions.first_source()),
         },
-        newest: import.confirmation.statement(cx.now),
+        newest: import.freshness.latest(cx.now),
     }
 }
 
-/// The nodes that ask the source before this one.
-pub(super) fn before(cx: &Context<'_>, state: &State) -> impl Iterator<Item = (Watch, NodeId)> {
+/// Returns the watchers that ask the source before this one.
+pub(super) fn earlier_watchers(
+    cx: &Context<'_>,
+    state: &State,
+) -> impl Iterator<Item = (Watch, NodeId)> {
     let own = (cx.settings.watch, cx.settings.node);
     let sources = state.import.subscriptions.sources();
     sources.filter(move |it| *it < own)
 }
 
-/// Tells all that asked of late how this node learns of versions, but for the one that it has it from.
-pub(super) fn tell_status(cx: &mut Context<'_>, state: &State, from: NodeId) {
-    let status = Message::Status(status(cx, state));
-    for to in state.import.subscriptions.askers() {
+/// Sends this node's status to all subscribers except `from`, which it comes from.
+pub(super) fn send_status(cx: &mut Context<'_>, state: &State, from: NodeId) {
+    let status = Message::Status(own_status(cx, state));
+    for to in state.import.subscriptions.all_subscribers() {
         if to != from {
             cx.send(to, event::Message::Import(status.clone()));
         }
     }
 }
 
-/// Notes that `from` asked for a newer version.
-pub(super) fn asked_by(cx: &Context<'_>, state: &mut State, from: NodeId) {
-    // One abroad that asks around is only to be told whom to ask: were all that it asked to follow up, each change would
-    // cross over many times.
-    if access(state) == Access::Direct || is_near(cx, state, from) {
+/// Subscribes `from` after its query.
+pub(super) fn add_subscriber(cx: &Context<'_>, state: &mut State, from: NodeId) {
+    // A peer in another zone is only answered: subscribing it would send each change between the
+    // zones many times.
+    if access(state) == Access::Direct || is_in_zone(cx, state, from) {
         state.import.subscriptions.subscribers.insert(from, cx.now);
     }
 }
 
-fn is_near(cx: &Context<'_>, state: &State, id: NodeId) -> bool {
+fn is_in_zone(cx: &Context<'_>, state: &State, id: NodeId) -> bool {
     let mut near = state.members.ready_in(&cx.settings.zone);
     near.any(|it| it.id == id)
 }
 
-/// Takes in what `from` says of itself.
-pub(super) fn told(cx: &Context<'_>, state: &mut State, from: NodeId, status: Status) {
-    // Were all of a zone to rely on one abroad, each change would cross over once for each of them.
+/// Handles the status of `from`.
+pub(super) fn handle_status(cx: &Context<'_>, state: &mut State, from: NodeId, status: Status) {
+    // Only watchers use a publisher in another zone, or each change would cross zones once per
+    // node.
     let watches = state.import.turn == Turn::Follow;
-    let near = is_near(cx, state, from);
+    let near = is_in_zone(cx, state, from);
     let useful = match status.access {
         Access::None => false,
-        // A relay abroad is one step further from the source than a node that it names; so is one nearby where this node knows
-        // such a one, and it would hide for seconds that all of those are gone.
+        // A relay in another zone is one hop further from the source than the watcher it names. A
+        // relay in this zone, beside a known watcher, would hide for seconds that all watchers are
+        // gone.
         Access::Relayed => {
             near && state
                 .import
                 .subscriptions
-                .source()
+                .first_source()
                 .is_none_or(|it| it == from)
         }
         Access::Direct => near || watches,
     };
-    let hinted = status.source.filter(|it| {
+    let hint = status.source.filter(|it| {
         let known = state.members.reach(*it).is_some() && *it != cx.settings.node;
-        known && (watches || is_near(cx, state, *it))
+        known && (watches || is_in_zone(cx, state, *it))
     });
     let subscriptions = &mut state.import.subscriptions;
     if useful {
         let publisher = Publisher {
             access: status.access,
             watch: status.watch,
-            heard: cx.now,
-            newest: cx.now - status.newest.age,
+            reported_at: cx.now,
+            confirmed_at: cx.now - status.newest.age,
         };
         subscriptions.publishers.insert(from, publisher);
     } else {
         subscriptions.publishers.remove(&from);
     }
     let known = match watches {
-        // Watchers find the first of them all.
-        true => subscriptions.source(),
-        false => subscriptions.vouching(cx.now),
+        // Watchers look for the first of all watchers.
+        true => subscriptions.first_source(),
+        false => subscriptions.fresh_source(cx.now),
     };
-    if known.is_none_or(|it| watches && hinted.is_some_and(|hinted| hinted < it)) {
-        subscriptions.hinted = hinted.or(subscriptions.hinted);
+    if known.is_none_or(|it| watches && hint.is_some_and(|hint| hint < it)) {
+        subscriptions.hint = hint.or(subscriptions.hint);
     }
 }
 
-/// Looks who is still there, decides whether this node watches, and asks if it is time to.
+/// Expires peers, decides whether this node watches, and queries if a query is due.
 pub(super) fn tick(cx: &mut Context<'_>, state: &mut State) {
     let reach = |id| state.members.reach(id);
     state.import.subscriptions.expire(cx.now, reach);
-    turn::take(cx, state);
-    let before = before(cx, state).count();
-    confirmation::tick(cx, state, before);
-    question::ask_somebody(cx, state);
+    turn::update_turn(cx, state);
+    let earlier = earlier_watchers(cx, state).count();
+    confirmation::tick(cx, state, earlier);
+    question::query_if_due(cx, state);
 }
--- a/crates/kernel/src/import/turn.rs
+++ b/crates/kernel/src/import/turn.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is to watch the source for its zone, besides those that watch it for good.
+//! Decides whether this node watches the source in place of its zone's permanent watchers.
 
 use super::{Source, Turn, Watch, subscription::Access};
 use crate::{
@@ -8,28 +8,32 @@
     utils::rendezvous,
 };
 
-/// How long a node that nobody tells waits before it watches by itself, in ms: two rounds of questions.
+/// How long a node without a publisher waits before it watches the source, in ms: two rounds of
+/// queries.
 const UNINFORMED_MS: u64 = 400;
-/// The same for a new process without a version. Where a whole fleet starts, it knows all of its zone after two seconds.
+/// The same for a new process without a version, in ms. When a whole fleet starts, a node knows its
+/// zone after about two seconds.
 pub const WATCH_FIRST_MS: u64 = 2_500;
-/// Nodes of a zone that take the place of its watchers at a time: one may be turned away as well.
-pub(super) const STANDBYS: usize = 2;
-/// Time after which the next ones try, in ms: a read of the source takes less.
-const NEXT_MS: u64 = 500;
-/// Nodes of a zone that ever take the place of watchers, beside those that nobody answers. Where the source answers none of
-/// so many it answers nobody, and every further one would only ask it in vain for as long as that lasts.
+/// Standbys of a zone that start to watch at a time; more than one, because the source may reject
+/// one as well.
+pub(super) const STANDBYS_PER_STEP: usize = 2;
+/// Time until the next standbys start to watch, in ms; longer than a read of the source.
+const STANDBY_STEP_MS: u64 = 500;
+/// Maximum number of standbys in a zone that watch, isolated nodes aside. If the source answers
+/// none of them, it is down, and more requests would only add load.
 const STANDBYS_MAX: usize = 6;
-/// Silence of all others after which a node takes itself to be cut off, and does not wait for its turn, in ms.
-const ALONE_MS: u64 = 1_000;
+/// Time without any answer from a peer after which a node takes itself to be isolated and doesn't
+/// wait for its turn, in ms.
+const ISOLATED_MS: u64 = 1_000;
 
-/// Whether somebody tells this node, or would if it stopped watching.
-fn relied_on(cx: &Context<'_>, state: &State) -> bool {
+/// Returns whether this node has a publisher, or would have one if it stopped watching.
+fn has_publisher(cx: &Context<'_>, state: &State) -> bool {
     let import = &state.import;
     let watches = import.turn == Turn::Follow && import.source == Source::Held;
     if !watches {
         return !import.subscriptions.publishers.is_empty();
     }
-    // Two standbys must not both rest in favour of each other.
+    // Only an earlier standby counts, or two standbys would both stop in favor of each other.
     let order = standbys(cx, state);
     let before: Vec<NodeId> = order
         .into_iter()
@@ -40,42 +44,43 @@
     })
 }
 
-/// The nodes of the own zone in the order in which they take the place of watchers; every node knows the same.
+/// Returns the nodes of the own zone in the order in which they replace its watchers; the order is
+/// the same on every node.
 pub(super) fn standbys(cx: &Context<'_>, state: &State) -> Vec<NodeId> {
     let near = state.members.ready_in(&cx.settings.zone);
     rendezvous("import/standbys", near.map(|it| it.id))
 }
 
-/// This node's place in that order.
-fn place(cx: &Context<'_>, state: &State) -> usize {
+/// Returns this node's position among the standbys.
+fn standby_rank(cx: &Context<'_>, state: &State) -> usize {
     let standbys = standbys(cx, state);
-    let place = standbys.iter().position(|it| *it == cx.settings.node);
-    place.unwrap_or(standbys.len())
+    let rank = standbys.iter().position(|it| *it == cx.settings.node);
+    rank.unwrap_or(standbys.len())
 }
 
-/// Whether this node looks abroad for its zone while nobody in it knows the newest version: a standby does, and whoever
-/// comes after those that do not answer.
-pub(super) fn is_scout(cx: &Context<'_>, state: &State) -> bool {
+/// Returns whether this node queries peers in other zones while no node of its zone has a recent
+/// confirmation: the first standbys that answer do.
+pub(super) fn queries_remote(cx: &Context<'_>, state: &State) -> bool {
     let own = cx.settings.node;
     let subscriptions = &state.import.subscriptions;
-    let there = |it: &NodeId| *it == own || subscriptions.answers(*it, own);
-    let standbys = standbys(cx, state).into_iter().filter(there);
-    standbys.take(STANDBYS).any(|it| it == own)
+    let responsive = |it: &NodeId| *it == own || subscriptions.is_responsive(*it, own);
+    let standbys = standbys(cx, state).into_iter().filter(responsive);
+    standbys.take(STANDBYS_PER_STEP).any(|it| it == own)
 }
 
-/// Decides whether this node watches the source.
-pub(super) fn take(cx: &mut Context<'_>, state: &mut State) {
+/// Starts or stops watching the source as needed.
+pub(super) fn update_turn(cx: &mut Context<'_>, state: &mut State) {
     if cx.settings.watch == Watch::Always {
         return;
     }
     let now = cx.now;
-    let turn = match relied_on(cx, state) {
+    let turn = match has_publisher(cx, state) {
         true => {
-            state.import.subscriptions.informed(now);
+            state.import.subscriptions.record_informed(now);
             Turn::Rest
         }
         false if state.import.turn == Turn::Follow => Turn::Follow,
-        false if waited_enough(cx, state) => Turn::Follow,
+        false if has_waited(cx, state) => Turn::Follow,
         false => Turn::Rest,
     };
     if turn == state.import.turn {
@@ -90,21 +95,21 @@
     cx.raise(Notice::Own);
 }
 
-/// Whether this node, which nobody tells, has waited long enough to watch by itself.
-fn waited_enough(cx: &Context<'_>, state: &State) -> bool {
+/// Returns whether this node, which has no publisher, has waited long enough to watch the source.
+fn has_waited(cx: &Context<'_>, state: &State) -> bool {
     let import = &state.import;
     let waited = cx
         .now
-        .since(import.subscriptions.informed.max(import.started));
+        .since(import.subscriptions.informed_at.max(import.started));
     let least = match import.table.version() {
         0 => WATCH_FIRST_MS,
         _ => UNINFORMED_MS,
     };
-    // One that is cut off from all others can wait for nobody.
-    let heard = import.subscriptions.answered.unwrap_or(import.started);
-    if cx.now.since(heard) >= ALONE_MS {
+    // An isolated node has no other standbys to wait for.
+    let answered_at = import.subscriptions.answered_at.unwrap_or(import.started);
+    if cx.now.since(answered_at) >= ISOLATED_MS {
         return waited >= least;
     }
-    let place = place(cx, state);
-    place < STANDBYS_MAX && waited >= least + (place / STANDBYS) as u64 * NEXT_MS
+    let rank = standby_rank(cx, state);
+    rank < STANDBYS_MAX && waited >= least + (rank / STANDBYS_PER_STEP) as u64 * STANDBY_STEP_MS
 }
--- a/crates/kernel/src/kernel.rs
+++ b/crates/kernel/src/kernel.rs
@@ -1,4 +1,4 @@
-//! The kernel: state, plug-ins and the step that drives them.
+//! The kernel: its state, its plug-ins and the step that runs them.
 
 use std::collections::VecDeque;
 
@@ -24,24 +24,24 @@
     view::Publisher,
 };
 
-/// A part of the kernel. Each module registers its own with `inventory::submit!`.
+/// A plug-in of the kernel, registered by its module with `inventory::submit!`.
 pub struct Plugin {
     /// Name, unique among the plug-ins.
     pub name: &'static str,
-    /// Plug-ins see each event in ascending order.
+    /// Plug-ins handle each event in ascending order.
     pub order: u8,
-    /// Where it takes part.
+    /// Origins of configuration for which it is active.
     pub scope: Scope,
-    /// Handles one event; called for each event and notice.
+    /// Handles an event or a notice.
     pub handle: fn(&mut Context<'_>, &mut State, &Event),
 }
 
 inventory::collect!(Plugin);
 
-/// The origins of configuration with which a plug-in takes part.
+/// Origins of configuration for which a plug-in is active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All of them.
+    /// All origins.
     Any,
     /// [`Origin::Submitted`] only.
     Submitted,
@@ -59,39 +59,39 @@
     }
 }
 
-/// The state of every plug-in. Each changes its own and may read the others'.
+/// The state of all plug-ins. Each changes only its own and may read the others'.
 pub struct State {
-    /// The applied configuration.
+    /// The applied configuration log.
     pub log: Log,
-    /// Catching up with the log in the table.
+    /// Recovery from the log in the table.
     pub recovery: Recovery,
-    /// The configuration of an external source.
+    /// Configuration imported from an external source.
     pub import: Import,
-    /// Submissions on their way into the table.
+    /// Submissions to the table.
     pub accept: Accept,
-    /// Configuration on its way to the nodes.
+    /// Distribution of configuration to the nodes.
     pub spread: Spread,
-    /// Who is there.
+    /// Membership.
     pub members: Members,
-    /// Whether the platform's store was put back.
+    /// Detection of a restored platform store.
     pub restore: Restore,
     /// Claims of requests that run at most once.
     pub once: Once,
-    /// Requests that crash their upstream.
+    /// Quarantine of requests that crash their upstream.
     pub guard: Guard,
-    /// Leaving.
+    /// Shutdown of this node.
     pub drain: Drain,
     /// The view that traffic threads read.
     pub publisher: Publisher,
 }
 
-/// What a plug-in may use while it handles one event.
+/// Context in which a plug-in handles one event.
 pub struct Context<'a> {
     /// Time of the event.
     pub now: Ms,
     /// Settings of this kernel.
     pub settings: &'a Settings,
-    /// Seeded randomness of this plug-in alone: what one draws does not change what another gets.
+    /// Seeded generator of this plug-in alone; draws of one plug-in don't affect another.
     pub rng: &'a mut ChaCha8Rng,
     out: &'a mut Vec<Action>,
     notices: &'a mut VecDeque<Notice>,
@@ -99,12 +99,12 @@
 }
 
 impl Context<'_> {
-    /// Emits one action.
+    /// Emits an action.
     pub fn act(&mut self, action: Action) {
         self.out.push(action);
     }
 
-    /// Asks the external source whether it holds a newer version.
+    /// Asks the external source for a newer version.
     pub fn check_source(&mut self) {
         self.act(Action::CheckSource);
     }
@@ -119,26 +119,28 @@
         self.act(Action::Reply { token, reply });
     }
 
-    /// Asks the table; the answer arrives as [`Event::Table`] with the returned id.
+    /// Starts an operation on the table; the answer arrives as [`Event::Table`] with the returned
+    /// id.
     pub fn table(&mut self, op: TableOp) -> CallId {
         let call = self.next_call();
         self.act(Action::Table { call, op });
         call
     }
 
-    /// Asks the object store; the answer arrives as [`Event::Object`] with the returned id.
+    /// Starts an operation on the object store; the answer arrives as [`Event::Object`] with the
+    /// returned id.
     pub fn object(&mut self, op: ObjectOp) -> CallId {
         let call = self.next_call();
         self.act(Action::Object { call, op });
         call
     }
 
-    /// Writes one log line.
+    /// Writes a log line.
     pub fn log(&mut self, event: &'static str, pairs: Vec<(&'static str, String)>) {
         self.act(Action::Log { event, pairs });
     }
 
-    /// Tells every plug-in, once the present event is done.
+    /// Notifies all plug-ins after the current event.
     pub fn raise(&mut self, notice: Notice) {
         if !self.notices.contains(&notice) {
             self.notices.push_back(notice);
@@ -151,7 +153,7 @@
     }
 }
 
-/// The decisions of one node.
+/// The deterministic state machine of one node.
 pub struct Kernel {
     settings: Settings,
     state: State,
@@ -160,11 +162,11 @@
     last: Ms,
 }
 
-/// A gap between two events longer than this means that the process was paused.
+/// Gap between two events, in ms, above which the process is taken to have been paused.
 pub const PAUSE_MS: u64 = 20 * TICK_MS;
 
 impl Kernel {
-    /// A kernel with no state but its settings. `seed` fixes its random choices.
+    /// Creates a kernel. `seed` fixes its random choices.
     pub fn new(settings: Settings, seed: u64) -> Kernel {
         let mut plugins: Vec<&'static Plugin> = inventory::iter::<Plugin>
             .into_iter()
@@ -192,16 +194,16 @@
         }
     }
 
-    /// Handles one event and appends what the driver has to do to `out`.
+    /// Handles one event and appends the actions that the driver has to carry out to `out`.
     ///
-    /// `now` never runs backwards: an earlier time counts as the time of the event before.
+    /// `now` never runs backwards: an earlier time counts as the time of the previous event.
     pub fn step(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) {
         let lost = now.since(self.last);
         let paused = self.last != Ms(0) && lost > PAUSE_MS;
         self.last = self.last.max(now);
         let mut notices = VecDeque::new();
-        // A paused process still believes leases and views that lapsed meanwhile; the plug-ins hear of
-        // the pause before the event, so none acts on a lapsed lease.
+        // Leases and views may have expired during a pause. The plug-ins are notified before the
+        // event, so none acts on an expired lease.
         if paused {
             notices.push_back(Notice::Paused { lost });
             self.drain_notices(&mut notices, out);
@@ -210,12 +212,12 @@
         self.drain_notices(&mut notices, out);
     }
 
-    /// The state, for drivers that check or show it.
+    /// Returns the state, for drivers that check or show it.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The settings it was made with.
+    /// Returns the kernel's settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision of laburnumward, free of I/O.
+//! The decision logic of laburnumward, free of I/O.
 //!
-//! The crate opens no socket, reads no wall clock and draws no unseeded random number. A driver feeds
-//! [`Event`]s to [`Kernel::step`] and carries out the [`Action`]s it returns; for one seed and one
-//! sequence of events the actions are always the same.
+//! The crate opens no socket, reads no wall clock and draws no unseeded random number. A driver
+//! feeds [`Event`]s to [`Kernel::step`] and carries out the [`Action`]s that it returns. For the
+//! same seed and sequence of events the actions are always the same.
 //!
 //! ```
 //! use laburnum_kernel::{Event, Kernel, Ms, Settings};
--- a/crates/kernel/src/routing.rs
+++ b/crates/kernel/src/routing.rs
@@ -1,7 +1,7 @@
-//! Routes by host and path prefix: the configuration that an external source gives whole, version by version.
+//! Routes by host and path prefix, imported from an external source as complete versions.
 //!
-//! [`Table::new`] checks a [`Spec`] as a whole. What it refuses is never applied in part, and a route of a table
-//! never names a service that the table lacks.
+//! [`Table::new`] checks a [`Spec`] as a whole: an invalid version is never applied in part, and a
+//! route of a table never names a service that the table lacks.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -16,66 +16,66 @@
     id::Name,
 };
 
-/// One version of the whole configuration, as its source gives it.
+/// One version of the whole configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spec {
-    /// Grows with each change, in steps of any size; zero is the empty configuration.
+    /// Version number; grows by any step with each change. Zero is the empty configuration.
     pub version: u64,
-    /// Every route.
+    /// All routes.
     pub routes: Vec<RouteSpec>,
     /// Every service.
     pub services: Vec<ServiceSpec>,
-    /// What callers may send.
+    /// Limits of callers' requests and connections.
     pub limits: Limits,
 }
 
-/// How requests under one prefix of one host are carried.
+/// Route of the requests under one path prefix of one host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteSpec {
     /// Unique name.
     pub name: Arc<str>,
-    /// Host that callers ask for, without a port.
+    /// Host of the request, without a port.
     pub host: Arc<str>,
-    /// Path prefix; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: Arc<str>,
     /// Whether a request may run more than once.
     pub repeat: Repeat,
-    /// Longest time that a caller is kept waiting, in ms.
+    /// Request timeout, in ms.
     pub timeout: u64,
-    /// Time within which an answer is of full use, in ms; the timeout where the source names none.
+    /// Latency goal, in ms; defaults to the timeout.
     pub goal: u64,
-    /// Rank under load; zero goes first.
+    /// Priority under load; zero is the highest.
     pub priority: u8,
-    /// Most endpoints that one request may be sent to.
+    /// Maximum number of endpoints that a request is sent to.
     pub attempts: u32,
-    /// The services that share the route's requests, by weight.
+    /// Services that share the route's requests by weight.
     pub targets: Vec<Target>,
 }
 
-/// A service's part of a route.
+/// A weighted service of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub service: Name,
-    /// Its share, relative to the sum of the route's weights.
+    /// Weight relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceSpec {
     /// Its name.
     pub name: Name,
 }
 
-/// What callers may send.
+/// Limits of callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Longest body, in bytes. Default: 1 MiB.
+    /// Maximum length of a request body, in bytes. Default: 1 MiB.
     pub body: u64,
-    /// Longest header of a request, in bytes. Default: 16 KiB.
+    /// Maximum length of a request header, in bytes. Default: 16 KiB.
     pub header: usize,
-    /// How long a caller's connection may be idle, in ms. Default: 10 s.
+    /// Idle timeout of a caller's connection, in ms. Default: 10 s.
     pub idle: u64,
 }
 
@@ -89,25 +89,25 @@
     }
 }
 
-/// What changed from one version to another; small where few routes did.
+/// Difference between two versions; small if few routes changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference {
-    /// The version that it starts from.
+    /// Version that the difference applies to.
     pub base: u64,
-    /// The version that it leads to.
+    /// Version that it results in.
     pub version: u64,
-    /// Names of routes that are gone.
+    /// Names of removed routes.
     pub dropped: Vec<Arc<str>>,
-    /// Routes that are new or different.
+    /// Added and changed routes.
     pub routes: Vec<RouteSpec>,
-    /// Every service, if any changed.
+    /// All services, if any changed.
     pub services: Option<Vec<ServiceSpec>>,
-    /// What callers may send.
+    /// The limits of the newer version.
     pub limits: Limits,
 }
 
 impl Difference {
-    /// What leads from `base` to `spec`.
+    /// Returns the difference that leads from `base` to `spec`.
     pub fn between(base: &Spec, spec: &Spec) -> Difference {
         let before: HashMap<&str, &RouteSpec> =
             base.routes.iter().map(|it| (&*it.name, it)).collect();
@@ -124,7 +124,8 @@
         }
     }
 
-    /// The version that it leads to, if `base` is the one that it starts from.
+    /// Applies the difference to `base`. Returns `None` if `base` has another version than the one
+    /// it applies to.
     pub fn apply(&self, base: &Spec) -> Option<Spec> {
         if base.version != self.base {
             return None;
@@ -147,21 +148,21 @@
     }
 }
 
-/// Why a version is refused whole.
+/// Why a version is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadSpec {
-    /// A route names a service that the version lacks.
+    /// A route names a service that is not part of the version.
     #[error(
-        "route {route} leads to {service}, which is no service of this version: add the service or change the route"
+        "route {route} names the service {service}, which this version does not define: add the service or change the route"
     )]
     Dangling { route: Arc<str>, service: Name },
-    /// A route has no target that gets a share.
+    /// No target of a route has a weight above zero.
     #[error("route {route} has no target with a weight: give one service a weight above zero")]
     NoTarget { route: Arc<str> },
-    /// A prefix does not begin and end with a slash.
-    #[error("route {route} has the prefix {prefix:?}: begin and end it with a slash")]
+    /// A prefix does not start and end with a slash.
+    #[error("route {route} has the prefix {prefix:?}: start and end it with a slash")]
     BadPrefix { route: Arc<str>, prefix: Arc<str> },
-    /// Two routes claim the same requests.
+    /// Two routes have the same host and prefix.
     #[error("routes {route} and {other} have the same host and prefix: keep one of them")]
     Ambiguous { route: Arc<str>, other: Arc<str> },
 }
@@ -170,14 +171,14 @@
 #[derive(Debug, Default)]
 pub struct Table {
     spec: Spec,
-    /// Places in `spec.routes` by host, then by prefix.
+    /// Indexes in `spec.routes` by host and prefix.
     hosts: HashMap<Arc<str>, HashMap<Arc<str>, usize>>,
-    /// The services as documents, made once a version: views are built many times a second.
+    /// The services as documents, built once because views are rebuilt often.
     documents: Vec<Arc<Document>>,
 }
 
 impl Table {
-    /// Checks `spec` whole and indexes it.
+    /// Checks and indexes `spec`.
     pub fn new(spec: Spec) -> Result<Table, BadSpec> {
         let mut hosts: HashMap<Arc<str>, HashMap<Arc<str>, usize>> = HashMap::new();
         for (at, route) in spec.routes.iter().enumerate() {
@@ -198,19 +199,19 @@
         })
     }
 
-    /// The version that the table holds.
+    /// Returns the version of the table.
     pub fn version(&self) -> u64 {
         self.spec.version
     }
 
-    /// What the table was made of.
+    /// Returns the configuration that the table was built from.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// The route of `host` with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     ///
-    /// Prefixes end with a slash, so one look-up a slash of the path finds it, however many routes a host has.
+    /// Takes one look-up per slash of the path, however many routes the host has.
     pub fn route(&self, host: &str, path: &str) -> Option<&RouteSpec> {
         let prefixes = self.hosts.get(host)?;
         let ends = path.rmatch_indices('/').map(|(at, _)| &path[..=at]);
@@ -218,7 +219,8 @@
         self.spec.routes.get(*at)
     }
 
-    /// The services as documents: what a document says beside its routes, with the defaults of a document.
+    /// Returns the services as documents without routes, with the default settings except for the
+    /// limit of request bodies and the warm-up.
     pub fn documents(&self) -> &[Arc<Document>] {
         &self.documents
     }
@@ -240,14 +242,14 @@
     }
 }
 
-/// Time over which a new endpoint's share of work grows, in ms; endpoints are slow for about as long.
+/// Warm-up time over which a new endpoint's share of requests grows, in ms.
 const RAMP_MS: u64 = 3_000;
 
 impl RouteSpec {
-    /// The service that carries the next request, by weight.
+    /// Draws the service that carries the next request, by weight.
     ///
-    /// Each request is drawn by itself: the shares hold whatever becomes of other requests, also while one
-    /// part is short of room.
+    /// Each request is drawn independently, so the shares hold even while one service rejects
+    /// requests.
     pub fn target(&self, rng: &mut impl Rng) -> &Name {
         let total: u32 = self.targets.iter().map(|it| it.weight).sum();
         let mut drawn = rng.random_range(0..total.max(1));
@@ -257,12 +259,12 @@
             }
             drawn -= target.weight;
         }
-        // A checked route has a target with a weight, so the loop returns before this.
+        // Not reached: a valid route has a target with a weight above zero.
         &self.targets[0].service
     }
 }
 
-/// The class by which a priority is told to modules that know three classes only.
+/// Maps a priority to a class, for modules that know three classes only.
 pub fn class_of(priority: u8) -> Class {
     match priority {
         0 => Class::Exact,
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a kernel is told once, at start.
+//! Settings that a kernel gets at its start.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -9,50 +9,51 @@
     once::OnceSettings,
 };
 
-/// Settings of one kernel. The driver has checked them.
+/// Settings of one kernel, already checked by the driver.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This node's control address, which is also its identity.
     pub node: NodeId,
-    /// Start of this process in milliseconds since the epoch; grows with each restart.
+    /// Start of this process in ms since the epoch; grows with each restart.
     pub incarnation: u64,
-    /// Where other nodes send this one requests.
+    /// Address for requests from other nodes.
     pub traffic: SocketAddr,
     /// Region of this node.
     pub region: Name,
     /// Availability zone of this node.
     pub zone: Name,
-    /// Control addresses of nodes to contact first. Default: none.
+    /// Control addresses of the nodes to contact first. Default: none.
     pub peers: Vec<NodeId>,
-    /// Where the configuration comes from. Default: submitted.
+    /// Origin of the configuration. Default: submitted.
     pub origin: Origin,
-    /// Whether this node watches an external source. Default: always.
+    /// When this node watches an external source. Default: always.
     pub watch: Watch,
-    /// How submissions are taken. Default: [`AcceptSettings::default`].
+    /// Submissions. Default: [`AcceptSettings::default`].
     pub accept: AcceptSettings,
-    /// How configuration spreads. Default: [`SpreadSettings::default`].
+    /// Distribution of configuration. Default: [`SpreadSettings::default`].
     pub spread: SpreadSettings,
-    /// How claims are kept. Default: [`OnceSettings::default`].
+    /// Claims. Default: [`OnceSettings::default`].
     pub once: OnceSettings,
-    /// Shortest time from a stop to the exit, in ms. Default: [`NOTICE_MS`].
+    /// Minimum time from a stop to the exit, in ms. Default: [`NOTICE_MS`].
     pub notice: u64,
 }
 
-/// Where the configuration comes from.
+/// Origin of the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Origin {
     /// Operators submit documents to the nodes, which keep them as a log in the platform's table.
     #[default]
     Submitted,
-    /// An external source holds it whole and versioned; the nodes follow it.
+    /// An external source holds the configuration as complete versions, which the nodes import.
     Imported,
 }
 
-/// How submissions are taken.
+/// Settings of submissions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptSettings {
-    /// How long a committer gathers submissions into one transaction, in ms; at most
-    /// [`WINDOW_MAX`](crate::accept::WINDOW_MAX). Two to one service within it conflict. Default: 20.
+    /// How long a committer batches submissions into one transaction, in ms; at most
+    /// [`WINDOW_MAX`](crate::accept::WINDOW_MAX). Two submissions to one service within it
+    /// conflict. Default: 20.
     pub window: u64,
 }
 
@@ -62,54 +63,59 @@
     }
 }
 
-/// How configuration spreads, and the baselines it is measured against.
+/// Settings of the distribution of configuration. Some variants are baselines for measurements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SpreadSettings {
-    /// Which mechanism carries changes to the nodes. Default: relays.
+    /// Mechanism that distributes changes. Default: relays.
     pub mode: SpreadMode,
-    /// Whether changes travel as deltas. Default: deltas.
+    /// Form in which changes are sent. Default: deltas.
     pub form: SpreadForm,
-    /// How long a committer or relay gathers accepted changes before passing them on, in ms. Default: 20.
+    /// How long a committer or relay batches accepted changes before it sends them on, in ms.
+    /// Default: 20.
     pub window: u64,
-    /// Control bytes a second this node may send, averaged over a minute. Default: 2048.
+    /// Budget of control traffic that this node sends, in bytes per second averaged over a minute.
+    /// Default: 2048.
     pub budget: u64,
-    /// Bytes a second of long answers to nodes that lag far behind, averaged over a minute. Default: 16384.
+    /// Budget of catch-up answers to nodes that are far behind, in bytes per second averaged over a
+    /// minute. Default: 16384.
     pub catchup: u64,
-    /// Such answers given at once; further askers are refused. Default: 2.
+    /// Maximum number of concurrent catch-up answers; further requests are refused. Default: 2.
     pub slots: usize,
     /// Mean time between two comparisons with a random peer, in ms. Default: 2000.
     pub repair: u64,
-    /// Relays in each availability zone. Default: 2.
+    /// Number of relays in each availability zone. Default: 2.
     pub relays: usize,
-    /// Most nodes that one node pushes to. Default: 4.
+    /// Maximum number of nodes that one node pushes to. Default: 4.
     pub degree: usize,
 }
 
-/// Which mechanism carries changes to the nodes.
+/// Mechanism that distributes changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpreadMode {
-    /// Relays in each availability zone read the table and push down a tree, with repair.
+    /// Relays in each availability zone read the table and push changes down a tree; comparisons
+    /// with peers repair losses.
     Relays,
     /// Every node polls the table; a baseline.
     Poll,
 }
 
-/// The form in which changes travel.
+/// Form in which changes are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpreadForm {
-    /// The difference to the revision before.
+    /// The difference from the previous revision.
     Delta,
     /// The full document; a baseline.
     Full,
 }
 
 impl SpreadSettings {
-    /// Favours convergence time: a short window and frequent comparisons.
+    /// Preset with a short convergence time: a short window and frequent comparisons.
     pub fn nile() -> SpreadSettings {
         SpreadSettings::default()
     }
 
-    /// Favours control bytes: a long window, so that changes which arrive together travel together.
+    /// Preset with little control traffic: a long window, so that changes close in time are sent
+    /// together.
     pub fn cascadia() -> SpreadSettings {
         SpreadSettings {
             window: 2_000,
--- a/crates/kernel/src/utils.rs
+++ b/crates/kernel/src/utils.rs
@@ -1,10 +1,10 @@
-//! Small helpers that several modules share.
+//! Helpers shared by several modules.
 
 use std::hash::Hash;
 
 use crate::id::NodeId;
 
-/// The first 8 bytes of the BLAKE3 hash of `parts`, each preceded by its length.
+/// Returns the first 8 bytes of the BLAKE3 hash of `parts`, each preceded by its length.
 pub fn hash64(parts: &[&[u8]]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
@@ -16,9 +16,9 @@
     u64::from_le_bytes(head)
 }
 
-/// The nodes in descending rendezvous (highest random weight) order for `key`.
+/// Returns the nodes in descending rendezvous (highest random weight) order for `key`.
 ///
-/// Two views that differ in one node differ in at most that node's place.
+/// Adding or removing a node does not change the order of the others.
 pub fn rendezvous(key: &str, nodes: impl IntoIterator<Item = NodeId>) -> Vec<NodeId> {
     let weight = |it: &NodeId| hash64(&[key.as_bytes(), it.to_string().as_bytes()]);
     let mut ranked: Vec<(u64, NodeId)> = nodes.into_iter().map(|it| (weight(&it), it)).collect();
@@ -41,9 +41,9 @@
         .collect()
 }
 
-/// Full-jitter backoff: anything from zero to `base * 2^failures`, at most `max`, in ms.
+/// Returns a delay with full jitter between zero and `base * 2^failures`, at most `max`, in ms.
 ///
-/// Nodes that failed together spread out over the whole interval instead of returning together.
+/// Nodes that failed at the same time spread their retries over the whole interval.
 pub fn backoff(rng: &mut impl rand::Rng, base: u64, max: u64, failures: u32) -> u64 {
     let ceiling = base.saturating_mul(1 << failures.min(16)).min(max);
     rng.random_range(0..=ceiling)
--- a/crates/kernel/src/view.rs
+++ b/crates/kernel/src/view.rs
@@ -1,4 +1,4 @@
-//! The immutable view that traffic threads read.
+//! The immutable view of configuration and members that traffic threads read.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -21,25 +21,25 @@
 /// Configuration and members at one moment. A route in it never names a service that it lacks.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The log position that the services stand for.
+    /// Position in the configuration log that the services correspond to.
     pub seq: Seq,
-    /// Whether this process has caught up since it started; before that it must not serve.
+    /// Whether this process has caught up since its start and may serve.
     pub ready: bool,
-    /// Every service, with the nodes whose upstreams serve it.
+    /// All services by name.
     pub services: BTreeMap<Name, ServiceView>,
-    /// The offer and phase of the upstream beside this node.
+    /// The upstream beside this node, if it has announced itself.
     pub own: Option<OwnView>,
-    /// Whether this node is to watch the external source now.
+    /// Whether this node has to watch the external source now.
     pub turn: Turn,
-    /// The newest era of the platform's store that is known here.
+    /// The newest era of the platform's store known to this node.
     pub era: Option<Era>,
-    /// Routes of an external source; empty where documents are submitted.
+    /// Routes imported from an external source; empty where documents are submitted.
     pub table: Arc<Table>,
-    /// Requests that crash their upstream: refused, or run one at a time.
+    /// Fingerprints of requests that crash their upstream: refused, or run one at a time.
     pub quarantined: Arc<Quarantined>,
 }
 
-/// One service.
+/// A service in a view.
 #[derive(Clone, Debug)]
 pub struct ServiceView {
     /// Revision in force.
@@ -48,18 +48,18 @@
     pub document: Arc<Document>,
     /// The document's text, as submitted.
     pub text: Arc<str>,
-    /// Nodes beside its upstreams.
+    /// Nodes beside the upstreams that serve it.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// A node beside an upstream.
+/// A node beside an upstream, to which requests are sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
     /// The node.
     pub node: NodeId,
-    /// Start of its process: a new incarnation is a new endpoint.
+    /// Incarnation of the node; a restarted node is a new endpoint.
     pub incarnation: u64,
-    /// Where to send requests.
+    /// Address to send requests to.
     pub traffic: SocketAddr,
     /// Region.
     pub region: Name,
@@ -67,9 +67,9 @@
     pub zone: Name,
     /// Phase of the upstream.
     pub phase: Phase,
-    /// Whether the node can be reached: prefer those that can.
+    /// Whether the node can be reached; reachable nodes are preferred.
     pub reach: Reach,
-    /// Requests that the upstream handles at once.
+    /// Number of requests that the upstream handles at once.
     pub slots: u16,
 }
 
@@ -84,13 +84,13 @@
     pub slots: u16,
 }
 
-/// Publishes a new view whenever something in it changed, at most one in [`TICK_MS`].
+/// Publishes a new view when something in it changed, at most one in [`TICK_MS`].
 ///
-/// A build visits every member. Without the bound a herd of small changes would rebuild the view for
-/// each of them and starve the control thread. What is rare goes out at once: the node's own changes,
-/// because a node that drains must refuse from then on; quarantines, because the caller of a request that
-/// crashes its upstream is about to send it again; and what this node accepted, because whoever submitted
-/// it may read it back at once.
+/// A build visits every member, so rebuilding for each of many small changes would starve the
+/// control thread. Rare changes are published at once: the node's own, because a draining node must
+/// refuse requests from then on; quarantines, because the caller of a request that crashes its
+/// upstream is about to send it again; and versions accepted by this node, because the submitter
+/// may read them back.
 #[derive(Debug, Default)]
 pub struct Publisher {
     stale: bool,
@@ -123,7 +123,7 @@
     cx.act(Action::Publish(view));
 }
 
-/// Builds the view of `state` from scratch.
+/// Builds the view of `state`.
 pub fn build(state: &State, origin: Origin) -> View {
     let mut endpoints: BTreeMap<Name, Vec<Endpoint>> = BTreeMap::new();
     for (record, reach) in state.members.alive_with_reach() {
@@ -132,8 +132,8 @@
         }
     }
     let mut services: BTreeMap<Name, ServiceView> = match origin {
-        Origin::Submitted => submitted(state),
-        Origin::Imported => imported(state),
+        Origin::Submitted => submitted_services(state),
+        Origin::Imported => imported_services(state),
     };
     for (name, it) in &mut services {
         it.endpoints = endpoints.remove(name).unwrap_or_default();
@@ -158,7 +158,7 @@
     }
 }
 
-fn submitted(state: &State) -> BTreeMap<Name, ServiceView> {
+fn submitted_services(state: &State) -> BTreeMap<Name, ServiceView> {
     let services = state.log.services().iter().map(|(name, it)| {
         let view = ServiceView {
             revision: it.revision,
@@ -171,7 +171,7 @@
     services.collect()
 }
 
-fn imported(state: &State) -> BTreeMap<Name, ServiceView> {
+fn imported_services(state: &State) -> BTreeMap<Name, ServiceView> {
     let table = state.import.table();
     let services = table.documents().iter().map(|document| {
         let view = ServiceView {
--- a/crates/kernel/tests/import.rs
+++ b/crates/kernel/tests/import.rs
@@ -10,7 +10,7 @@
 use laburnum_kernel::{
     Event, Message, Settings,
     event::UpstreamEvent,
-    import::{Message as Import, PART_MAX, SETTLE_MS, Source, Turn, WATCH_FIRST_MS},
+    import::{Message as Import, PART_MAX, READY_TIMEOUT_MS, Source, Turn, WATCH_FIRST_MS},
     settings::Origin,
     view,
 };
@@ -113,7 +113,7 @@
 fn node_without_a_version_is_not_ready() {
     let mut driver = fleet(2);
     announce(&mut driver, 1);
-    driver.run(2 * SETTLE_MS);
+    driver.run(2 * READY_TIMEOUT_MS);
     assert!(!ready(&driver, 0));
     driver.event(0, Event::Imported(table(5, 10)));
     driver.run(100);
@@ -169,9 +169,9 @@
 fn node_serves_what_it_can_after_a_while() {
     let mut alone = fleet(1);
     alone.event(0, Event::Imported(table(5, 10)));
-    alone.run(SETTLE_MS / 2);
+    alone.run(READY_TIMEOUT_MS / 2);
     assert!(!ready(&alone, 0), "its peers may still answer");
-    alone.run(SETTLE_MS);
+    alone.run(READY_TIMEOUT_MS);
     assert!(ready(&alone, 0));
 }
 
