--- a/crates/kernel/examples/hot_callers.rs
+++ b/crates/kernel/examples/hot_callers.rs
@@ -1,6 +1,6 @@
-//! One hot caller against many ordinary ones, with no limit, halving counters and token buckets.
+//! Compares rate limiters under one hot caller and many ordinary ones: none, halving counters and token buckets.
 //!
-//! `cargo run --release -p laburnum-kernel --example hot_callers [seed]` prints one line a scenario and limiter.
+//! `cargo run --release -p laburnum-kernel --example hot_callers [seed]` prints one line per scenario and limiter.
 
 use std::{
     cmp::Reverse,
@@ -21,44 +21,44 @@
 use rand_chacha::ChaCha8Rng;
 
 const SLOTS: u16 = 6;
-const SERVICE: f64 = 20.0;
-const DEADLINE: u64 = 1_000;
-const TIME: u64 = 60_000;
-const WARMUP: u64 = 5_000;
-/// Caller that sends far more than its share.
+const SERVICE_MS: f64 = 20.0;
+const DEADLINE_MS: u64 = 1_000;
+const TIME_MS: u64 = 60_000;
+const WARMUP_MS: u64 = 5_000;
+/// Index of the caller that exceeds its limit.
 const HOT: usize = 0;
-/// Caller that stays within its limit on average but sends ten requests at once every two seconds.
+/// Index of the caller that sends [`BURST`] requests at once every [`BURST_GAP_MS`], within its limit on average.
 const BURSTY: usize = 1;
 const BURST: usize = 10;
-const BURST_GAP: u64 = 2_000;
+const BURST_GAP_MS: u64 = 2_000;
 
-/// When the hot caller calms down in the scenario about it, in ms.
-const CALM_AT: u64 = 40_000;
-/// Requests a second of the hot caller once it has calmed down.
-const CALM: f64 = 5.0;
+/// Time at which the hot caller reduces its rate in one scenario, in ms.
+const CALM_AT_MS: u64 = 40_000;
+/// Requests per second of the hot caller after [`CALM_AT_MS`].
+const CALM_RATE: f64 = 5.0;
 
 struct Scenario {
     label: &'static str,
-    /// Ordinary callers.
+    /// Number of ordinary callers.
     callers: usize,
-    /// Their requests a second, together.
+    /// Requests per second of all ordinary callers together.
     rate: f64,
-    /// Requests a second of the hot caller.
-    hot: f64,
-    /// Requests a second allowed to each.
+    /// Requests per second of the hot caller.
+    hot_rate: f64,
+    /// Limit of each caller, in requests per second.
     limit: u32,
-    /// When the hot caller falls back to [`CALM`] requests a second, in ms.
-    until: u64,
+    /// Time at which the hot caller reduces its rate to [`CALM_RATE`], in ms.
+    calm_at: u64,
 }
 
-/// The product's limiter and the one it was chosen over.
+/// The product's limiter (token buckets) or halving counters.
 enum Limiter {
     Halving(Halving),
     Bucket(hot::Limiter),
 }
 
-/// The counters of "Retaining Database Goodput Under Stress with Per-Partition Query Rate Limiting": every
-/// request counts, every counter is halved each second, and a draw sent with the request decides.
+/// Counters of "Retaining Database Goodput Under Stress with Per-Partition Query Rate Limiting": each counter is halved
+/// every second and sets the probability of a refusal.
 #[derive(Default)]
 struct Halving {
     counts: HashMap<u64, u32>,
@@ -75,7 +75,7 @@
 }
 
 impl Halving {
-    /// A steady rate X makes the counter swing between X and 2X: X(1+f) after the part f of a second.
+    /// At a steady rate X the counter is X(1+f) after the fraction f of a second.
     fn admit(&mut self, now: Ms, caller: u64, limit: u32, draw: f64) -> Verdict {
         let period = now.0 / 1_000;
         if period > self.period {
@@ -121,8 +121,8 @@
     running: HashMap<u64, (usize, u64, Permit)>,
     waiting: HashMap<Ticket, (usize, u64)>,
     counts: HashMap<usize, Count>,
-    /// Requests of the hot caller in the ten seconds after [`CALM_AT`].
-    calmed: Count,
+    /// Requests of the hot caller in the ten seconds after [`CALM_AT_MS`].
+    after_calm: Count,
     latency: Vec<u64>,
 }
 
@@ -151,8 +151,8 @@
     }
     for limiter in ["halving", "bucket"] {
         println!(
-            "{limiter}: {:.0} ns a decision over 1,000 callers",
-            time(limiter)
+            "{limiter}: {:.0} ns per decision over 1,000 callers",
+            decision_ns(limiter)
         );
     }
 }
@@ -162,31 +162,31 @@
         label: "no hot caller",
         callers: 20,
         rate: 120.0,
-        hot: CALM,
+        hot_rate: CALM_RATE,
         limit: 30,
-        until: TIME,
+        calm_at: TIME_MS,
     };
     [
         Scenario {
             label: "hot 2x",
-            hot: 600.0,
+            hot_rate: 600.0,
             ..base
         },
         Scenario {
             label: "hot 8x",
-            hot: 2_400.0,
+            hot_rate: 2_400.0,
             ..base
         },
         Scenario {
             label: "hot 8x, limit 10",
-            hot: 2_400.0,
+            hot_rate: 2_400.0,
             limit: 10,
             ..base
         },
         Scenario {
             label: "hot 8x, calm at 40 s",
-            hot: 2_400.0,
-            until: CALM_AT,
+            hot_rate: 2_400.0,
+            calm_at: CALM_AT_MS,
             ..base
         },
         base,
@@ -216,7 +216,7 @@
             running: HashMap::new(),
             waiting: HashMap::new(),
             counts: HashMap::new(),
-            calmed: Count::default(),
+            after_calm: Count::default(),
             latency: Vec::new(),
         }
     }
@@ -227,7 +227,7 @@
         }
         while let Some(Reverse((at, _, step))) = self.queue.pop() {
             self.now = at;
-            if at > TIME * 1_000 {
+            if at > TIME_MS * 1_000 {
                 return;
             }
             self.step(scenario, step);
@@ -244,12 +244,12 @@
             }
             Step::Hot => {
                 self.offer(HOT);
-                let calm = self.ms().0 >= scenario.until;
-                self.poisson(if calm { CALM } else { scenario.hot }, step);
+                let calm = self.ms().0 >= scenario.calm_at;
+                self.poisson(if calm { CALM_RATE } else { scenario.hot_rate }, step);
             }
             Step::Burst => {
                 (0..BURST).for_each(|_| self.offer(BURSTY));
-                self.after(BURST_GAP * 1_000, step);
+                self.after(BURST_GAP_MS * 1_000, step);
             }
             Step::Ended(id) => {
                 let Some((caller, born, permit)) = self.running.remove(&id) else {
@@ -286,12 +286,12 @@
             .limiter
             .as_mut()
             .map_or(Verdict::Admit, |it| it.admit(now, key, self.limit, draw));
-        let counted = now.0 >= WARMUP;
+        let counted = now.0 >= WARMUP_MS;
         let count = self.counts.entry(caller).or_default();
         count.offered += u64::from(counted);
-        if caller == HOT && (CALM_AT..CALM_AT + 10_000).contains(&now.0) {
-            self.calmed.offered += 1;
-            self.calmed.limited += u64::from(verdict != Verdict::Admit);
+        if caller == HOT && (CALM_AT_MS..CALM_AT_MS + 10_000).contains(&now.0) {
+            self.after_calm.offered += 1;
+            self.after_calm.limited += u64::from(verdict != Verdict::Admit);
         }
         if verdict != Verdict::Admit {
             count.limited += u64::from(counted);
@@ -299,7 +299,7 @@
         }
         let request = Request {
             class: Class::Interactive,
-            deadline: now + DEADLINE,
+            deadline: now + DEADLINE_MS,
         };
         match self.admission.offer(now, request) {
             Offer::Run(permit) => self.start(caller, self.now, permit),
@@ -312,14 +312,14 @@
 
     fn start(&mut self, caller: usize, born: u64, permit: Permit) {
         let draw = exponential(&mut self.rng);
-        let took = SERVICE * (0.5 + 0.5 * draw) * 1_000.0;
+        let took = SERVICE_MS * (0.5 + 0.5 * draw) * 1_000.0;
         let id = self.steps;
         self.running.insert(id, (caller, born, permit));
         self.after(took as u64, Step::Ended(id));
     }
 
     fn good(&mut self, caller: usize, born: u64) {
-        if born < WARMUP * 1_000 {
+        if born < WARMUP_MS * 1_000 {
             return;
         }
         self.counts.entry(caller).or_default().good += 1;
@@ -368,14 +368,14 @@
             100.0 * good / offered,
             100.0 * limited / offered,
             100.0 * burst / bursts,
-            one(HOT).0 * 1_000.0 / (TIME - WARMUP) as f64,
-            100.0 * self.calmed.limited as f64 / self.calmed.offered.max(1) as f64,
+            one(HOT).0 * 1_000.0 / (TIME_MS - WARMUP_MS) as f64,
+            100.0 * self.after_calm.limited as f64 / self.after_calm.offered.max(1) as f64,
             p99 as f64 / 1_000.0,
         );
     }
 }
 
-fn time(kind: &str) -> f64 {
+fn decision_ns(kind: &str) -> f64 {
     const ROUNDS: u64 = 5_000_000;
     let mut limiter = limiter(kind).expect("a known limiter");
     let keys: Vec<u64> = (0..1_000u64)
--- a/crates/kernel/examples/overload/actors.rs
+++ b/crates/kernel/examples/overload/actors.rs
@@ -1,4 +1,4 @@
-//! The entries and owners of a run.
+//! Entries and owners of a simulation.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -16,14 +16,15 @@
 
 use crate::scenario::{Scenario, Upstreams};
 
-/// Time over which entries give a restarted endpoint its full share, in ms.
-const RAMP: u64 = 5_000;
+/// Warm-up of a restarted endpoint, in ms.
+const RAMP_MS: u64 = 5_000;
 
 /// An entry node.
 pub struct Entry {
     pub picker: Picker,
     pub budget: Budget,
     pub zone: usize,
+    /// Round robin position of the baseline policy.
     pub turn: usize,
 }
 
@@ -32,7 +33,8 @@
     pub admission: Admission,
     pub node: NodeId,
     pub zone: usize,
-    pub factor: f64,
+    /// Factor on the service time.
+    pub slowdown: f64,
     pub processors: Option<f64>,
     pub silent: bool,
     pub running: usize,
@@ -42,19 +44,19 @@
 }
 
 impl Owner {
-    pub fn new(scenario: &Scenario, settings: &AdmissionSettings, at: usize) -> Owner {
+    pub fn new(scenario: &Scenario, settings: &AdmissionSettings, idx: usize) -> Owner {
         let mut admission = Admission::new(settings.clone(), scenario.slots);
         admission.set_phase(Ms(0), Phase::Ready, &mut Vec::new());
-        let slow = scenario.upstreams == Upstreams::Slow && at.is_multiple_of(3);
+        let slow = scenario.upstreams == Upstreams::Slow && idx.is_multiple_of(3);
         let oversold = scenario.upstreams == Upstreams::Oversold;
-        let port = u16::try_from(at).expect("few endpoints");
+        let port = u16::try_from(idx).expect("few endpoints");
         Owner {
             admission,
             node: NodeId(SocketAddr::from((Ipv4Addr::LOCALHOST, port))),
-            zone: at % scenario.zones,
-            factor: if slow { 3.0 } else { 1.0 },
+            zone: idx % scenario.zones,
+            slowdown: if slow { 3.0 } else { 1.0 },
             processors: oversold.then(|| f64::from(scenario.slots) / 3.0),
-            silent: scenario.upstreams == Upstreams::Silent && at == 0,
+            silent: scenario.upstreams == Upstreams::Silent && idx == 0,
             running: 0,
             waiting: HashMap::new(),
             permits: HashMap::new(),
@@ -62,14 +64,14 @@
         }
     }
 
-    /// Work done at best, as a share of that of ordinary slots.
+    /// Returns the maximum throughput per slot relative to an ordinary upstream.
     pub fn capacity(&self) -> f64 {
         let share = if self.processors.is_some() {
             1.0 / 3.0
         } else {
             1.0
         };
-        share / self.factor
+        share / self.slowdown
     }
 
     pub fn endpoint(&self, slots: u16) -> Endpoint {
@@ -93,7 +95,7 @@
             zone: name(&format!("zone-{zone}")),
         };
         let mut picker = Picker::new(place);
-        picker.refresh(Ms(0), endpoints, RAMP);
+        picker.refresh(Ms(0), endpoints, RAMP_MS);
         Entry {
             picker,
             budget: Budget::new(Ms(0), 10),
--- a/crates/kernel/examples/overload/cost.rs
+++ b/crates/kernel/examples/overload/cost.rs
@@ -1,4 +1,4 @@
-//! Processor time of the decisions.
+//! Time per load balancing and admission decision.
 
 use std::time::Instant;
 
@@ -20,8 +20,8 @@
 const ROUNDS: u64 = 1_000_000;
 const ENDPOINTS: usize = 300;
 
-/// Time of one pick with its start and end among [`ENDPOINTS`] endpoints, in ns.
-pub fn pick() -> f64 {
+/// Returns the time of one pick with its start and end among [`ENDPOINTS`] endpoints, in ns.
+pub fn pick_ns() -> f64 {
     let scenario = Scenario {
         endpoints: ENDPOINTS,
         ..nile()
@@ -46,8 +46,8 @@
     start.elapsed().as_nanos() as f64 / ROUNDS as f64
 }
 
-/// Time of one offer and its end at an owner, in ns.
-pub fn admit() -> f64 {
+/// Returns the time of one offer and its end at an owner, in ns.
+pub fn admit_ns() -> f64 {
     let mut admission = Admission::new(AdmissionSettings::default(), 12);
     admission.set_phase(Ms(0), Phase::Ready, &mut Vec::new());
     let mut wakes = Vec::new();
--- a/crates/kernel/examples/overload/main.rs
+++ b/crates/kernel/examples/overload/main.rs
@@ -1,6 +1,7 @@
-//! Goodput under overload: admission, pick and retry against round robin with blind retries.
+//! Compares goodput under overload: admission control, load balancing and retry budgets against round robin with
+//! unconditional retries.
 //!
-//! `cargo run --release -p laburnum-kernel --example overload [seed]` prints one line a scenario and policy.
+//! `cargo run --release -p laburnum-kernel --example overload [seed]` prints one line per scenario and policy.
 
 mod actors;
 mod cost;
@@ -43,11 +44,11 @@
             }
         }
     }
-    println!("pick, start and end: {:.0} ns", cost::pick());
-    println!("offer and end: {:.0} ns", cost::admit());
+    println!("pick, start and end: {:.0} ns", cost::pick_ns());
+    println!("offer and end: {:.0} ns", cost::admit_ns());
 }
 
-/// Both policies, or only the managed one with `managed` as the second argument.
+/// Returns both policies, or only the managed one if the second argument is `managed`.
 fn policies() -> Vec<Policy> {
     match std::env::args().nth(2).as_deref() {
         Some("managed") => vec![Policy::Managed],
--- a/crates/kernel/examples/overload/scenario.rs
+++ b/crates/kernel/examples/overload/scenario.rs
@@ -1,34 +1,34 @@
-//! The scenarios, at the sizes of the two sites.
+//! Scenarios at the sizes of the two sites.
 
 /// Shares of the classes in the offered slot time.
 const MIX: [f64; 3] = [0.7, 0.1, 0.2];
 
-/// How requests are carried.
+/// Policy for sending, admitting and retrying requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Round robin, a queue in the upstream, three blind retries after a quarter of the deadline each.
+    /// Round robin, a queue in the upstream, and up to three retries, each after a timeout of a quarter of the deadline.
     Baseline,
-    /// Admission, two choices, budgeted retries.
+    /// Admission control, two random choices and budgeted retries.
     Managed,
 }
 
-/// When a silent upstream falls silent, in us.
+/// Time from which a silent upstream does not answer, in us.
 pub const SILENT_FROM: u64 = 20_000_000;
 
-/// How an upstream behaves.
+/// Behaviour of the upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Upstreams {
-    /// All alike.
+    /// All upstreams are equal.
     Equal,
-    /// Every third is three times slower.
+    /// Every third upstream is three times slower.
     Slow,
-    /// The first swallows every request from [`SILENT_FROM`] on; members still announce it as ready.
+    /// The first upstream does not answer from [`SILENT_FROM`] on, but is still announced as ready.
     Silent,
-    /// All announce three times the slots that they have processors for, and slow down beyond.
+    /// All upstreams announce three times as many slots as processors and slow down when these are exceeded.
     Oversold,
 }
 
-/// One experiment.
+/// Parameters of one simulation.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub endpoints: usize,
@@ -45,7 +45,7 @@
     pub time: u64,
 }
 
-/// The drafting desk: drafts read in about 20 ms, filings 30 ms, archive lookups 100 ms.
+/// Site with drafts of about 20 ms, filings of 30 ms and archive lookups of 100 ms.
 pub fn nile() -> Scenario {
     Scenario {
         endpoints: 5,
@@ -59,7 +59,7 @@
     }
 }
 
-/// The profiles: fetches of about 10 ms, purchases 20 ms, bulk work 50 ms.
+/// Site with profile fetches of about 10 ms, purchases of 20 ms and bulk work of 50 ms.
 pub fn cascadia() -> Scenario {
     Scenario {
         endpoints: 7,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Every scenario of a site.
+/// Returns all scenarios of a site.
 pub fn scenarios(base: &Scenario) -> Vec<(String, Scenario)> {
     let scaled = |factor: f64| MIX.map(|it| it * factor);
     let mut all = Vec::new();
--- a/crates/kernel/examples/overload/sim.rs
+++ b/crates/kernel/examples/overload/sim.rs
@@ -1,4 +1,4 @@
-//! A discrete-event run of entries, owners and upstreams, in microseconds.
+//! Discrete-event simulation of entries, owners and upstreams, in microseconds.
 
 use std::{cmp::Reverse, collections::BinaryHeap};
 
@@ -21,11 +21,11 @@
     step::{Answer, Step},
 };
 
-/// Places of each class in the tables of a [`Report`].
+/// Classes in the order of the arrays of a [`Report`].
 pub const CLASSES: [Class; 3] = [Class::Interactive, Class::Exact, Class::Background];
 
-const WARMUP: u64 = 3_000_000;
-const TICK: u64 = 5_000;
+const WARMUP_US: u64 = 3_000_000;
+const TICK_US: u64 = 5_000;
 const RETRIES: u32 = 3;
 
 struct Call {
@@ -40,7 +40,7 @@
     open: bool,
 }
 
-/// One run.
+/// State of one simulation.
 pub struct Sim {
     scenario: Scenario,
     policy: Policy,
@@ -64,19 +64,19 @@
 impl Sim {
     fn new(scenario: Scenario, policy: Policy, settings: &AdmissionSettings, seed: u64) -> Sim {
         let owners: Vec<Owner> = (0..scenario.endpoints)
-            .map(|at| Owner::new(&scenario, settings, at))
+            .map(|idx| Owner::new(&scenario, settings, idx))
             .collect();
         let endpoints: Vec<Endpoint> = owners
             .iter()
             .map(|it| it.endpoint(scenario.slots))
             .collect();
         let entries = (0..2 * scenario.zones)
-            .map(|at| Entry::new(at % scenario.zones, at, &endpoints))
+            .map(|idx| Entry::new(idx % scenario.zones, idx, &endpoints))
             .collect();
         Sim {
             report: Report {
                 capacity: owners.iter().map(Owner::capacity).sum::<f64>()
-                    * (scenario.time - WARMUP) as f64
+                    * (scenario.time - WARMUP_US) as f64
                     * f64::from(scenario.slots),
                 ..Report::default()
             },
@@ -97,7 +97,7 @@
             self.next_arrival(class);
         }
         for owner in 0..self.owners.len() {
-            self.after(TICK, Step::Tick { owner });
+            self.after(TICK_US, Step::Tick { owner });
         }
         while let Some(Reverse((at, _, step))) = self.queue.pop() {
             if at > self.scenario.time {
@@ -137,7 +137,7 @@
                 let now = self.ms();
                 self.owners[owner].admission.tick(now, &mut wakes);
                 self.wake(owner, wakes);
-                self.after(TICK, Step::Tick { owner });
+                self.after(TICK_US, Step::Tick { owner });
             }
         }
     }
@@ -165,7 +165,7 @@
             sent: 0,
             open: true,
         });
-        if self.counts(call) {
+        if self.is_measured(call) {
             self.report.offered[class] += 1;
         }
         self.attempt(call);
@@ -196,11 +196,11 @@
         call.attempt += 1;
         call.sent = self.now;
         let attempt = call.attempt;
-        let patience = match self.policy {
+        let timeout = match self.policy {
             Policy::Baseline => self.scenario.deadline[call.class] / u64::from(RETRIES + 1),
             Policy::Managed => (call.deadline.at().0 * 1_000).saturating_sub(self.now),
         };
-        if self.counts(id) {
+        if self.is_measured(id) {
             self.report.attempts += 1;
             self.report.reached += u64::from(attempt == 1);
         }
@@ -213,7 +213,7 @@
                 owner,
             },
         );
-        self.after(patience, Step::Timeout { call: id, attempt });
+        self.after(timeout, Step::Timeout { call: id, attempt });
     }
 
     fn at_owner(&mut self, call: usize, attempt: u32, owner: usize) {
@@ -252,17 +252,17 @@
         }
     }
 
-    /// Half of the service time is fixed, half is exponential.
+    /// Starts a request; half of its service time is fixed, half is exponential.
     fn serve(&mut self, owner: usize, call: usize, attempt: u32) {
         let mean = self.scenario.service[self.calls[call].class] as f64;
         let draw = exponential(&mut self.rng);
         let it = &mut self.owners[owner];
         it.running += 1;
-        let crowd = it
+        let contention = it
             .processors
             .map_or(1.0, |cpus| (it.running as f64 / cpus).max(1.0).powf(1.5));
         let work = (mean * (0.5 + 0.5 * draw)) as u64;
-        let took = (work as f64 * it.factor * crowd) as u64;
+        let took = (work as f64 * it.slowdown * contention) as u64;
         self.after(
             took,
             Step::Ended {
@@ -335,7 +335,7 @@
         let current = call.open && call.attempt == attempt;
         match answer {
             Answer::Ran { work } => {
-                self.learn(
+                self.record_outcome(
                     id,
                     owner,
                     Outcome::Answered {
@@ -348,7 +348,7 @@
             }
             Answer::Refused { reason, after } => {
                 let refusal = Refusal { reason, after };
-                self.learn(id, owner, Outcome::Refused(refusal));
+                self.record_outcome(id, owner, Outcome::Refused(refusal));
                 if current {
                     self.retry(id, Failure::NotRun(refusal));
                 }
@@ -356,7 +356,7 @@
         }
     }
 
-    fn learn(&mut self, id: usize, owner: usize, outcome: Outcome) {
+    fn record_outcome(&mut self, id: usize, owner: usize, outcome: Outcome) {
         let now = self.ms();
         let call = &self.calls[id];
         let entry = &mut self.entries[call.entry];
@@ -377,10 +377,10 @@
         let (class, entry) = (call.class, call.entry);
         self.entries[entry].budget.success();
         let timely = latency <= self.scenario.deadline[class];
-        if timely && self.now >= WARMUP {
+        if timely && self.now >= WARMUP_US {
             self.report.useful += work as f64;
         }
-        if !self.counts(id) {
+        if !self.is_measured(id) {
             return;
         }
         if !timely {
@@ -401,7 +401,7 @@
             Policy::Managed => {
                 if let Some(node) = self.calls[id].tried.last() {
                     let owner = usize::from(node.0.port());
-                    self.learn(id, owner, Outcome::Failed);
+                    self.record_outcome(id, owner, Outcome::Failed);
                 }
                 self.give_up(id);
             }
@@ -428,7 +428,7 @@
 
     fn give_up(&mut self, id: usize) {
         self.calls[id].open = false;
-        if self.counts(id) {
+        if self.is_measured(id) {
             self.report.given_up.push(self.now - self.calls[id].born);
         }
     }
@@ -450,9 +450,9 @@
             .push(Reverse((self.now + delay, self.steps, step)));
     }
 
-    fn counts(&self, id: usize) -> bool {
+    fn is_measured(&self, id: usize) -> bool {
         let latest = self.scenario.time - self.scenario.deadline[self.calls[id].class];
-        (WARMUP..latest).contains(&self.calls[id].born)
+        (WARMUP_US..latest).contains(&self.calls[id].born)
     }
 
     fn delay(&self, call: usize, owner: usize) -> u64 {
--- a/crates/kernel/examples/overload/step.rs
+++ b/crates/kernel/examples/overload/step.rs
@@ -1,6 +1,5 @@
-//! What happens in a run.
+//! Events of a simulation.
 
-/// An event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
     Arrive {
@@ -35,7 +34,7 @@
     },
 }
 
-/// What an entry gets back from an owner.
+/// Answer of an owner to an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Answer {
     Ran {
