--- a/crates/kernel/examples/acceptance.rs
+++ b/crates/kernel/examples/acceptance.rs
@@ -1,6 +1,6 @@
-//! Measures what acceptance costs the table: `cargo run --release -p laburnum-kernel --example acceptance`.
+//! Measures the load of acceptance on the table: `cargo run --release -p laburnum-kernel --example acceptance`.
 //!
-//! The table is in memory and answers after a fixed time; everything else is the kernel as nodes run it.
+//! Runs real kernels with an in-memory table that answers after a fixed time.
 
 #[path = "../tests/common/driver.rs"]
 mod driver;
@@ -18,13 +18,13 @@
 
 const DOCUMENT: &str = include_str!("../../../examples/nile/court-registry.toml");
 
-/// A quarter's changes.
+/// Number of submitted changes.
 const CHANGES: usize = 500;
-/// Pairs of changes to one service.
+/// Number of pairs of changes to one service.
 const PAIRS: usize = 50;
-/// Services of one user.
+/// Number of services.
 const SERVICES: usize = 190;
-/// Ms until the table answers.
+/// Delay of the table's answers, in ms.
 const DELAY: u64 = 10;
 
 fn main() {
@@ -32,22 +32,22 @@
     println!(
         "case                          commits conflicts  reads   rows    bytes  ms   accepted"
     );
-    show("one window, one committer", &["a"], together);
-    show("one at a time, one committer", &["a"], one_by_one);
-    show("one window, 2 committers", &["a", "b"], together);
-    show(
+    measure_load("one window, one committer", &["a"], submit_all);
+    measure_load("one at a time, one committer", &["a"], submit_one_by_one);
+    measure_load("one window, 2 committers", &["a", "b"], submit_all);
+    measure_load(
         "one window, 7 committers",
         &["a", "b", "c", "d", "e", "f", "g"],
-        together,
+        submit_all,
     );
-    rivals("nile", SpreadSettings::nile());
-    rivals("cascadia", SpreadSettings::cascadia());
-    slopes();
-    recovery();
+    measure_rivals("nile", SpreadSettings::nile());
+    measure_rivals("cascadia", SpreadSettings::cascadia());
+    measure_sizes();
+    measure_recovery();
 }
 
-/// Pairs of changes of one service 300 ms apart, the second by somebody who reads the service then.
-fn rivals(case: &str, spread: SpreadSettings) {
+/// Submits pairs of changes to one service 300 ms apart; the second is based on the revision in force by then.
+fn measure_rivals(case: &str, spread: SpreadSettings) {
     let mut driver = Driver::new(&[]);
     driver.add_with(Settings {
         spread,
@@ -57,7 +57,7 @@
     driver.delay = DELAY;
     let (mut accepted, mut millis) = (0, 0);
     for id in (0..2 * PAIRS).step_by(2) {
-        let (service, began) = (id, driver.now);
+        let (service, started_at) = (id, driver.now);
         let first = driver.submit(0, &change(id, service, 0));
         driver.run(300);
         let services = driver.kernels[0].state().log.services();
@@ -67,7 +67,7 @@
         while !driver.replies.contains_key(&first) || !driver.replies.contains_key(&second) {
             driver.run(10);
         }
-        millis += driver.now.since(began);
+        millis += driver.now.since(started_at);
         let pair = [first, second];
         accepted += pair.iter().filter(|it| is_accepted(&driver, **it)).count();
     }
@@ -78,17 +78,17 @@
     );
 }
 
-fn show(case: &str, regions: &[&str], run: fn(&mut Driver) -> Vec<Token>) {
+fn measure_load(case: &str, regions: &[&str], run: fn(&mut Driver) -> Vec<Token>) {
     let mut driver = Driver::new(regions);
     driver.run(10_000);
     driver.delay = DELAY;
-    let (commits, reads, written, began) =
+    let (commits, reads, written, started_at) =
         (driver.commits, driver.reads, driver.written, driver.now);
     let tokens = run(&mut driver);
     while !tokens.iter().all(|it| driver.replies.contains_key(it)) {
         driver.run(10);
     }
-    let millis = driver.now.since(began);
+    let millis = driver.now.since(started_at);
     let entries = driver.entries().len();
     let accepted = tokens
         .iter()
@@ -108,7 +108,7 @@
     matches!(driver.verdict(token), Verdict::Accepted { .. })
 }
 
-/// A document as long as users write them; each submission differs from the last in a few lines.
+/// Returns a change with a document of realistic length that differs from other changes in a few lines.
 fn change(id: usize, service: usize, base: u64) -> Submission {
     let service = format!("service-{service}");
     let mut submission = put(id as u128, &service, base, &[]);
@@ -124,14 +124,14 @@
     change(id, id, 0)
 }
 
-fn together(driver: &mut Driver) -> Vec<Token> {
+fn submit_all(driver: &mut Driver) -> Vec<Token> {
     let nodes = driver.kernels.len();
     (0..CHANGES)
         .map(|id| driver.submit(id % nodes, &submission(id)))
         .collect()
 }
 
-fn one_by_one(driver: &mut Driver) -> Vec<Token> {
+fn submit_one_by_one(driver: &mut Driver) -> Vec<Token> {
     let mut tokens = Vec::new();
     for id in 0..CHANGES {
         let token = driver.submit(0, &submission(id));
@@ -143,8 +143,8 @@
     tokens
 }
 
-/// What a day's changes add, each alone in its batch, and what a snapshot holds then.
-fn slopes() {
+/// Measures the sizes of the log and of a snapshot after a day's changes, each alone in its batch.
+fn measure_sizes() {
     let mut driver = Driver::new(&["a"]);
     driver.run(10_000);
     let mut revisions: BTreeMap<usize, u64> = BTreeMap::new();
@@ -180,9 +180,9 @@
     );
 }
 
-/// Reads of a node that starts when the log has 1,000 entries.
-fn recovery() {
-    for kept in [true, false] {
+/// Measures the reads of a node that starts when the log has 1,000 entries.
+fn measure_recovery() {
+    for has_snapshot in [true, false] {
         let mut driver = Driver::new(&["a"]);
         driver.run(10_000);
         let mut base = 0;
@@ -193,16 +193,16 @@
                 base = revision.0;
             }
         }
-        if !kept {
+        if !has_snapshot {
             driver.objects.clear();
         }
         driver.deaf = [0, 1].into();
         let reads = driver.reads;
-        let late = driver.add("b");
+        let started = driver.add("b");
         driver.run(20_000);
-        let seq = driver.kernels[late].state().log.seq();
+        let seq = driver.kernels[started].state().log.seq();
         println!(
-            "recovery to {seq}, snapshot kept: {kept}, table reads: {}",
+            "recovery to {seq}, snapshot kept: {has_snapshot}, table reads: {}",
             driver.reads - reads
         );
     }
--- a/crates/kernel/examples/claims.rs
+++ b/crates/kernel/examples/claims.rs
@@ -1,8 +1,8 @@
-//! Measures claims a second, row writes and delay of at-most-once claims, over kernels on a simulated clock.
+//! Measures throughput, row writes and delay of at-most-once claims, with kernels on a simulated clock.
 //!
-//! `cargo run --release -p laburnum-kernel --example claims [-- NODES SECONDS]`. The table takes
-//! [`WRITES`] row writes a second and throttles the rest; the second form has a slower table. The baseline
-//! is a row a claim: one conditional write for the claim and one for its outcome.
+//! `cargo run --release -p laburnum-kernel --example claims [-- NODES SECONDS]`. The table accepts [`WRITES`] row
+//! writes per second and throttles the rest. The baseline uses one row per claim, with one conditional write for the
+//! claim and one for its outcome.
 
 use std::{
     cmp::Reverse,
@@ -20,16 +20,16 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Row writes a second that the table takes.
+/// Maximum row writes per second of the table.
 const WRITES: f64 = 400.0;
-/// One way within a region and between regions, in ms.
-const NEAR_MS: u64 = 1;
-const FAR_MS: u64 = 40;
-/// How long an upstream runs a request, in ms.
+/// One-way delays within a region and between regions, in ms.
+const REGION_DELAY_MS: u64 = 1;
+const REMOTE_DELAY_MS: u64 = 40;
+/// Run time of a request, in ms.
 const RUN_MS: u64 = 20;
-/// Bytes of an answer's body.
+/// Size of an answer's body, in bytes.
 const BODY: usize = 100;
-/// Before the load begins, in ms.
+/// Time before the load starts, in ms.
 const WARM_MS: u64 = 5_000;
 const REGIONS: usize = 7;
 
@@ -51,34 +51,34 @@
                 let world = World::new(nodes as usize, delay, rate, views);
                 println!("{}", world.run(seconds * 1_000));
             }
-            println!("{}", rows(delay, rate, seconds));
+            println!("{}", run_baseline(delay, rate, seconds));
         }
     }
 }
 
-/// A row a claim, by count: each claim and each outcome is one row write against the table's rate.
-fn rows(delay: u64, rate: u64, seconds: u64) -> String {
+/// Computes the baseline: each claim and each outcome is one row write against the table's rate.
+fn run_baseline(delay: u64, rate: u64, seconds: u64) -> String {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut budget = Budget::default();
-    let (mut asked, mut granted, mut settled, mut writes) = (0u64, 0u64, 0u64, 0u64);
+    let (mut claims, mut granted, mut settled, mut writes) = (0u64, 0u64, 0u64, 0u64);
     let mut due: BinaryHeap<Reverse<u64>> = BinaryHeap::new();
     for now in 0..seconds * 1_000 {
         while due.peek().is_some_and(|it| it.0 <= now) {
             due.pop();
-            match budget.take(now) {
+            match budget.try_take(now) {
                 true => (settled, writes) = (settled + 1, writes + 1),
                 false => due.push(Reverse(now + 1_000)),
             }
         }
         for _ in 0..arrivals(&mut rng, rate) {
-            asked += 1;
-            if budget.take(now) {
+            claims += 1;
+            if budget.try_take(now) {
                 (granted, writes) = (granted + 1, writes + 1);
                 due.push(Reverse(now + delay + RUN_MS));
             }
         }
     }
-    let share = |it: u64| 100.0 * it as f64 / asked.max(1) as f64;
+    let share = |it: u64| 100.0 * it as f64 / claims.max(1) as f64;
     format!(
         "a-row   {delay:8} {rate:8} {:8.1} {:8.1} {:6.0} {:10.2}",
         share(granted),
@@ -88,7 +88,7 @@
     )
 }
 
-/// A token bucket over row writes with a quarter of a second of burst.
+/// Token bucket for row writes with a burst of a quarter of a second.
 #[derive(Default)]
 struct Budget {
     tokens: f64,
@@ -96,7 +96,7 @@
 }
 
 impl Budget {
-    fn take(&mut self, now: u64) -> bool {
+    fn try_take(&mut self, now: u64) -> bool {
         let earned = (now - self.last) as f64 * WRITES / 1_000.0;
         self.tokens = (self.tokens + earned).min(WRITES / 4.0);
         self.last = now;
@@ -109,17 +109,17 @@
 }
 
 fn arrivals(rng: &mut ChaCha8Rng, rate: u64) -> u64 {
-    // Up to 10 a millisecond, each with the chance that makes up the rate.
+    // Up to 10 arrivals per ms, each with the probability that results in the rate.
     let chance = rate as f64 / 10_000.0;
     (0..10).filter(|_| rng.random_bool(chance)).count() as u64
 }
 
-/// Who knows whom.
+/// Which nodes know each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Views {
-    /// Every node knows every other: a bucket has one owner.
+    /// All nodes know each other, so a bucket has one owner.
     Whole,
-    /// Nodes know their region only: a bucket has an owner in each, whose writes collide.
+    /// Nodes know only their region, so a bucket has an owner in each region and their writes conflict.
     Split,
     /// All nodes are in one region.
     Site,
@@ -147,7 +147,7 @@
     rows: BTreeMap<String, Row>,
     objects: BTreeMap<String, Vec<u8>>,
     budget: Budget,
-    asked: BTreeMap<Token, (u64, usize, AttemptId, Key)>,
+    pending: BTreeMap<Token, (u64, usize, AttemptId, Key)>,
     delays: Vec<u64>,
     counts: Counts,
     sent: Vec<u64>,
@@ -155,7 +155,7 @@
 
 #[derive(Default)]
 struct Counts {
-    asked: u64,
+    claims: u64,
     granted: u64,
     settled: u64,
     rows: u64,
@@ -188,7 +188,7 @@
             rows: BTreeMap::new(),
             objects: BTreeMap::new(),
             budget: Budget::default(),
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             delays: Vec::new(),
             counts: Counts::default(),
             sent: vec![0; nodes],
@@ -234,15 +234,15 @@
 
     fn arrive(&mut self) {
         for _ in 0..arrivals(&mut self.rng, self.rate) {
-            self.counts.asked += 1;
+            self.counts.claims += 1;
             let idx = self.rng.random_range(0..self.kernels.len());
             let attempt = AttemptId(self.rng.random());
             let key = Key {
                 service: "tunings".parse().expect("a valid name"),
                 text: format!("{:032x}", self.rng.random::<u128>()),
             };
-            let token = Token(self.counts.asked);
-            self.asked
+            let token = Token(self.counts.claims);
+            self.pending
                 .insert(token, (self.now, idx, attempt, key.clone()));
             let call = Call::Once(once::Call::Claim {
                 key,
@@ -258,7 +258,7 @@
     fn deliver(&mut self, item: Item) {
         match item {
             Item::Event(idx, event) => {
-                let ours = matches!(
+                let is_claim_event = matches!(
                     event,
                     Event::Table { .. }
                         | Event::Object { .. }
@@ -269,20 +269,20 @@
                 );
                 let start = Instant::now();
                 self.step(idx, event);
-                if ours {
+                if is_claim_event {
                     self.counts.nanos += start.elapsed().as_nanos();
                 }
             }
             Item::Table(idx, call, op) => {
-                let answer = self.table(op);
-                self.later(
+                let answer = self.answer_table(op);
+                self.schedule(
                     self.delay / 2,
                     Item::Event(idx, Event::Table { call, answer }),
                 );
             }
             Item::Object(idx, call, op) => {
-                let answer = self.object(op);
-                self.later(
+                let answer = self.answer_object(op);
+                self.schedule(
                     self.delay / 2,
                     Item::Event(idx, Event::Object { call, answer }),
                 );
@@ -306,7 +306,7 @@
         }
     }
 
-    fn table(&mut self, op: TableOp) -> TableAnswer {
+    fn answer_table(&mut self, op: TableOp) -> TableAnswer {
         match op {
             TableOp::Get { keys } => {
                 let rows = keys.iter().filter_map(|it| self.rows.get(it).cloned());
@@ -314,19 +314,19 @@
             }
             TableOp::Scan { .. } => TableAnswer::Rows(Vec::new()),
             TableOp::Commit { checks, writes } => {
-                let loaded = self.asked_lately();
-                if !writes.iter().all(|_| self.budget.take(self.now)) {
-                    self.counts.throttled += u64::from(loaded);
+                let is_loaded = self.is_loaded();
+                if !writes.iter().all(|_| self.budget.try_take(self.now)) {
+                    self.counts.throttled += u64::from(is_loaded);
                     return TableAnswer::Failed(Fault::Throttled { after: 250 });
                 }
                 let version = |key: &str| self.rows.get(key).map_or(0, |it| it.version);
                 let failed = checks.iter().filter(|it| version(&it.key) != it.version);
                 let failed: Vec<String> = failed.map(|it| it.key.clone()).collect();
-                if loaded {
+                if is_loaded {
                     self.counts.rows += writes.len() as u64;
                 }
                 if !failed.is_empty() {
-                    self.counts.conflicts += u64::from(loaded);
+                    self.counts.conflicts += u64::from(is_loaded);
                     let rows = failed.iter().filter_map(|it| self.rows.get(it).cloned());
                     return TableAnswer::Conflict(rows.collect());
                 }
@@ -334,7 +334,7 @@
                     let Write::Put { key, value } = write else {
                         continue;
                     };
-                    if loaded && key.starts_with("claim/") {
+                    if is_loaded && key.starts_with("claim/") {
                         self.counts.bytes += value.len() as u64;
                         self.counts.largest = self.counts.largest.max(value.len());
                     }
@@ -351,10 +351,10 @@
         }
     }
 
-    fn object(&mut self, op: ObjectOp) -> ObjectAnswer {
+    fn answer_object(&mut self, op: ObjectOp) -> ObjectAnswer {
         match op {
             ObjectOp::Put { name, bytes } => {
-                self.counts.objects += u64::from(self.asked_lately());
+                self.counts.objects += u64::from(self.is_loaded());
                 self.objects.insert(name, bytes);
                 ObjectAnswer::Done
             }
@@ -363,7 +363,7 @@
                 None => ObjectAnswer::Absent,
             },
             ObjectOp::Delete { name } => {
-                self.counts.objects += u64::from(self.asked_lately());
+                self.counts.objects += u64::from(self.is_loaded());
                 self.objects.remove(&name);
                 ObjectAnswer::Done
             }
@@ -379,16 +379,16 @@
                 Action::Probe { to, packet } => {
                     let from = address(idx);
                     let target = index(to);
-                    let after = self.distance(idx, target);
-                    self.later(after, Item::Event(target, Event::Probe { from, packet }));
+                    let after = self.link_delay(idx, target);
+                    self.schedule(after, Item::Event(target, Event::Probe { from, packet }));
                 }
                 Action::Table { call, op } => {
-                    self.later(self.delay / 2, Item::Table(idx, call, op));
+                    self.schedule(self.delay / 2, Item::Table(idx, call, op));
                 }
                 Action::Object { call, op } => {
-                    self.later(self.delay / 2, Item::Object(idx, call, op));
+                    self.schedule(self.delay / 2, Item::Object(idx, call, op));
                 }
-                Action::Reply { token, reply } => self.replied(token, &reply),
+                Action::Reply { token, reply } => self.handle_reply(token, &reply),
                 _ => {}
             }
         }
@@ -400,37 +400,37 @@
             self.sent[idx] += bytes as u64;
         }
         let (from, target) = (address(idx), index(to));
-        let after = self.distance(idx, target);
-        self.later(after, Item::Event(target, Event::Message { from, message }));
+        let after = self.link_delay(idx, target);
+        self.schedule(after, Item::Event(target, Event::Message { from, message }));
     }
 
-    fn replied(&mut self, token: Token, reply: &Reply) {
+    fn handle_reply(&mut self, token: Token, reply: &Reply) {
         if *reply == Reply::Once(once::Reply::Settled) {
             self.counts.settled += 1;
         }
-        let Some((asked, idx, attempt, key)) = self.asked.remove(&token) else {
+        let Some((claimed_at, idx, attempt, key)) = self.pending.remove(&token) else {
             return;
         };
         if let Reply::Once(once::Reply::Granted { .. }) = reply {
             self.counts.granted += 1;
-            self.delays.push(self.now - asked);
-            self.later(RUN_MS, Item::Finish(idx, attempt, key));
+            self.delays.push(self.now - claimed_at);
+            self.schedule(RUN_MS, Item::Finish(idx, attempt, key));
         }
     }
 
-    /// Whether the load is on; what comes after it is not counted.
-    fn asked_lately(&self) -> bool {
+    /// Returns whether the load is running; operations after it are not counted.
+    fn is_loaded(&self) -> bool {
         self.now < self.stop
     }
 
-    fn distance(&self, lhs: usize, rhs: usize) -> u64 {
+    fn link_delay(&self, lhs: usize, rhs: usize) -> u64 {
         match lhs % self.regions == rhs % self.regions {
-            true => NEAR_MS,
-            false => FAR_MS,
+            true => REGION_DELAY_MS,
+            false => REMOTE_DELAY_MS,
         }
     }
 
-    fn later(&mut self, after: u64, item: Item) {
+    fn schedule(&mut self, after: u64, item: Item) {
         self.number += 1;
         self.heap.push(Reverse((self.now + after, self.number)));
         self.items.insert(self.number, item);
@@ -443,7 +443,7 @@
             self.delays.get(idx).copied().unwrap_or_default()
         };
         let counts = &self.counts;
-        let share = |it: u64| 100.0 * it as f64 / counts.asked.max(1) as f64;
+        let share = |it: u64| 100.0 * it as f64 / counts.claims.max(1) as f64;
         let worst = self.sent.iter().max().copied().unwrap_or_default();
         let kept = self.objects.iter().filter(|it| it.0.starts_with("claim/"));
         let (kept, claims) = kept.fold((0, 0), |(bytes, claims), (_, it)| {
