--- a/crates/kernel/src/accept.rs
+++ b/crates/kernel/src/accept.rs
@@ -221,7 +221,7 @@
         Event::Object { call, answer } => snapshots::handle_object_answer(cx, state, *call, answer),
         _ => return,
     }
-    match state.accept.reader.answer(cx, &mut state.log, event) {
+    match state.accept.reader.handle_answer(cx, &mut state.log, event) {
         Progress::Done => handle_log_read(cx, state),
         Progress::Failed => handle_read_failure(cx, state),
         Progress::Same | Progress::Busy => {}
--- a/crates/kernel/src/accept/commit.rs
+++ b/crates/kernel/src/accept/commit.rs
@@ -281,7 +281,7 @@
     answer_accepted(cx, state);
     let held = state.log.seq();
     let queue = &mut state.accept.queue;
-    queue.read = state.accept.reader.began();
+    queue.read = state.accept.reader.started_at();
     for it in &mut queue.waiting {
         // The log holds another batch at that position, so the earlier write had no effect.
         if matches!(it.prior_write, PriorWrite::At(seq) if seq <= held) {
--- a/crates/kernel/src/document.rs
+++ b/crates/kernel/src/document.rs
@@ -1,7 +1,6 @@
-//! The document that describes how one service is reached.
+//! Documents, which describe how a service is called.
 //!
-//! [`Document::parse`] is the only way from text to a [`Document`]: submissions and nodes share it, so a
-//! text that was accepted is applied, and whole.
+//! Submissions and nodes share [`Document::parse`], so that nodes with the same schema can apply every accepted text.
 
 mod fault;
 mod read;
@@ -15,78 +14,78 @@
 pub use self::fault::{BadDocument, FAULTS_MAX, Fault, FaultKind};
 use crate::id::Name;
 
-/// The newest schema that this build understands.
+/// The newest schema that this build supports.
 pub const SCHEMA: u32 = 1;
-/// The longest document, in bytes.
+/// Maximum length of a document, in bytes.
 pub const DOCUMENT_MAX: usize = 48 * 1024;
-/// Most routes of one document.
+/// Maximum number of routes in a document.
 pub const ROUTES_MAX: usize = 256;
-/// Most methods of one route.
+/// Maximum number of methods in a route.
 pub const METHODS_MAX: usize = 16;
-/// Most services that one route uses.
+/// Maximum number of services that a route uses.
 pub const USES_MAX: usize = 64;
-/// The longest owner, in bytes.
+/// Maximum length of the owner, in bytes.
 pub const OWNER_MAX: usize = 128;
-/// The longest path of a route, in bytes.
+/// Maximum length of a route's path, in bytes.
 pub const PATH_MAX: usize = 512;
-/// The longest method, in bytes.
+/// Maximum length of a method, in bytes.
 pub const METHOD_MAX: usize = 16;
-/// The largest `limits.body`, in bytes.
+/// Maximum of `limits.body`, in bytes.
 pub const BODY_MAX: u64 = 64 << 20;
-/// The shortest deadline, in ms.
+/// Minimum of a deadline, in ms.
 pub const DEADLINE_MIN: u64 = 10;
-/// The longest deadline, in ms.
+/// Maximum of a deadline, in ms.
 pub const DEADLINE_MAX: u64 = 15 * 60_000;
-/// The longest `drain.grace` and `warmup.ramp`, in ms.
+/// Maximum of `drain.grace` and `warmup.ramp`, in ms.
 pub const WAIT_MAX: u64 = 10 * 60_000;
 
-/// One service's document, checked.
+/// The valid document of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Version of the document's format.
+    /// Version of the document format.
     pub schema: u32,
-    /// The service described.
+    /// The described service.
     pub service: Name,
-    /// Team that answers for it.
+    /// Team that is responsible for the service.
     pub owner: String,
     /// Routes, longest path first.
     pub routes: Vec<Route>,
-    /// Bounds on admitted work.
+    /// Limits on admitted work.
     pub limits: Limits,
     /// Retry policy of the entry node.
     pub retry: Retry,
-    /// How the upstream leaves.
+    /// Draining of the upstream.
     pub drain: Drain,
-    /// How the upstream starts.
+    /// Warm-up of the upstream.
     pub warmup: Warmup,
 }
 
-/// How requests under one path are carried.
+/// How requests with one path prefix are handled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Path prefix, from `/`; matched by whole segments.
+    /// Path prefix, starting with `/`; matches whole segments only.
     pub path: Arc<str>,
     /// Methods in upper case, at least one.
     pub methods: Vec<Arc<str>>,
-    /// Share of the upstream that the route is entitled to.
+    /// Class that determines the route's share of the upstream.
     pub class: Class,
-    /// Longest time a request may take in all, in ms. Default: [`Class::deadline`].
+    /// Maximum total time of a request, in ms. Default: [`Class::deadline`].
     pub deadline: u64,
     /// Whether a request may run more than once.
     pub repeat: Repeat,
-    /// Services that handling the request calls; each must exist.
+    /// Services that are called to handle a request; each must exist.
     pub uses: Vec<Name>,
 }
 
-/// Class of work; the classes share an upstream by weight.
+/// Class of requests; the classes share an upstream by weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Somebody waits for the answer.
+    /// A user waits for the answer.
     Interactive,
-    /// Runs at most once, such as a filing or a purchase.
+    /// Requests that run at most once, such as a filing or a purchase.
     Exact,
-    /// Finishes eventually and never crowds the others out.
+    /// Requests without urgency that must not displace the other classes.
     Background,
 }
 
@@ -94,58 +93,58 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// The request is idempotent: it may be retried after an unknown outcome.
+    /// The request is idempotent and may be retried after an unknown outcome.
     Idempotent,
-    /// The request runs at most once and needs an `Idempotency-Key`.
+    /// The request runs at most once and requires an `Idempotency-Key`.
     Never,
 }
 
-/// Bounds on admitted work.
+/// Limits on admitted work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Most requests that wait for a slot. Default: 64.
+    /// Maximum number of requests that wait for a slot. Default: 64.
     pub queue: u32,
-    /// Requests a second from one caller; zero means no limit. Default: 0.
+    /// Maximum requests per second from one caller; zero means no limit. Default: 0.
     pub caller: u32,
-    /// Longest request or answer body in bytes. Default: 1 MiB.
+    /// Maximum size of a request or answer body, in bytes. Default: 1 MiB.
     pub body: u64,
 }
 
 /// Retry policy of the entry node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Retry {
-    /// Most attempts at one request. Default: 3.
+    /// Maximum number of attempts per request. Default: 3.
     pub attempts: u32,
-    /// Retries as a share of successes, in percent. Default: 10.
+    /// Retry budget as a share of successes, in percent. Default: 10.
     pub budget: u32,
 }
 
-/// How the upstream leaves.
+/// Draining of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Longest time requests in progress are waited for, in ms. Default: 30 s.
+    /// Maximum wait for requests in progress, in ms. Default: 30 s.
     pub grace: u64,
 }
 
-/// How the upstream starts.
+/// Warm-up of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Warmup {
-    /// Time over which a new upstream's share of work grows to its full one, in ms. Default: 5 s.
+    /// Time over which the share of a new upstream grows to its full one, in ms. Default: 5 s.
     pub ramp: u64,
 }
 
 impl Document {
-    /// Reads and checks a document in TOML.
+    /// Parses and checks a document in TOML.
     pub fn parse(text: &str) -> Result<Document, BadDocument> {
         read::read(text).map(|it| it.document)
     }
 
-    /// Every service that the routes use.
+    /// Returns all services that the routes use.
     pub fn uses(&self) -> BTreeSet<&Name> {
         self.routes.iter().flat_map(|it| &it.uses).collect()
     }
 
-    /// The route that carries `method` on `path`, if any: the longest prefix wins.
+    /// Returns the route for `method` on `path`, if any. The longest prefix wins.
     pub fn route(&self, method: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
@@ -164,23 +163,22 @@
     }
 }
 
-/// Checks that every service which the document in `text` uses exists; lists those that do not.
+/// Checks that all services that the document in `text` uses exist. The error lists those that do not.
 ///
-/// Reads the text again, as only the text knows the place of each reference. Call it when
-/// [`Document::uses`] names a service that is not there.
+/// Parses the text again for the places of the references; call it after a check of [`Document::uses`] failed.
 pub fn check_uses(text: &str, exists: impl Fn(&Name) -> bool) -> Result<(), BadDocument> {
     let read = read::read(text)?;
     let mut faults = table::Faults::new(text);
     for (offset, service) in read.uses {
         if !exists(&service) {
-            faults.note(offset, FaultKind::Dangling(service));
+            faults.add(offset, FaultKind::Dangling(service));
         }
     }
     faults.finish(Some(()))
 }
 
 impl Class {
-    /// The deadline of a route that names none, in ms.
+    /// Returns the default deadline of the class's routes, in ms.
     pub fn deadline(self) -> u64 {
         match self {
             Class::Interactive => 1_000,
--- a/crates/kernel/src/document/fault.rs
+++ b/crates/kernel/src/document/fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a document, each fault with its place and its remedy.
+//! Faults of documents; each message says where the fault is and how to fix it.
 
 use std::fmt;
 
@@ -9,64 +9,64 @@
 
 /// The text is not a valid document.
 ///
-/// Displayed as one line a fault, in the order of the text.
+/// Displayed as one line per fault, in the order of the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct BadDocument {
-    /// Every fault found, at least one.
+    /// The faults found, at least one.
     pub faults: Vec<Fault>,
 }
 
-/// One fault and its place in the text.
+/// A fault and its place in the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}, column {column}: {kind}")]
 pub struct Fault {
-    /// Line, from 1.
+    /// Line, starting at 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, starting at 1.
     pub column: usize,
-    /// What is wrong there.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
 
-/// What is wrong, in words that name the remedy.
+/// Kind of a fault. The messages say how to fix it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FaultKind {
     /// The text is longer than [`DOCUMENT_MAX`].
     #[error("the document has {0} bytes; shorten it to at most {DOCUMENT_MAX}")]
     Oversized(usize),
-    /// The text is not TOML.
+    /// The text is not valid TOML.
     #[error("not valid TOML: {0}; correct the syntax of this line")]
     Syntax(String),
-    /// The document is written for a newer build.
+    /// The document needs a newer build.
     #[error(
         "schema {0} is newer than this build's {SCHEMA}; upgrade the nodes first, or write \"schema = {SCHEMA}\""
     )]
     NewSchema(u64),
-    /// A key that no schema up to [`SCHEMA`] has.
+    /// The key exists in no schema up to [`SCHEMA`].
     #[error(
         "unknown key \"{key}\" in {section}{}; remove it or correct its spelling",
-        guess(nearest)
+        suggestion(nearest)
     )]
     UnknownKey {
         key: String,
         section: &'static str,
         nearest: Option<&'static str>,
     },
-    /// A key without a default is absent.
+    /// A required key is absent.
     #[error("{section} lacks \"{key}\"; add {example}")]
     Missing {
         key: &'static str,
         section: &'static str,
         example: &'static str,
     },
-    /// A value of another type.
+    /// The value has the wrong type.
     #[error("\"{key}\" is {found}; write {example}")]
     Type {
         key: &'static str,
         found: &'static str,
         example: &'static str,
     },
-    /// A duration or size that cannot be read.
+    /// The duration or size is not valid.
     #[error(
         "\"{key}\": {text:?} is not {what}; write a whole number and a unit of {units}, such as {example}"
     )]
@@ -77,20 +77,20 @@
         units: &'static str,
         example: &'static str,
     },
-    /// A value out of bounds.
+    /// The value is out of bounds.
     #[error("\"{key}\" is out of bounds; choose {min} to {max}")]
     Bounds {
         key: &'static str,
         min: String,
         max: String,
     },
-    /// Text that is too long or has characters that would garble a log line.
+    /// The text is empty, too long or contains control characters.
     #[error("\"{key}\" is not valid; use 1 to {max} characters without control characters")]
     Text { key: &'static str, max: usize },
-    /// Text that is none of a closed set.
+    /// The text is not one of the allowed values.
     #[error(
         "\"{key}\": unknown value {value:?}{}; choose one of {choices}",
-        guess(nearest)
+        suggestion(nearest)
     )]
     Choice {
         key: &'static str,
@@ -98,66 +98,66 @@
         choices: &'static str,
         nearest: Option<&'static str>,
     },
-    /// The name of a service.
+    /// The name of a service is not valid.
     #[error(transparent)]
     Name(#[from] BadName),
     /// The document has no routes.
     #[error("the document has no routes; add at least one [[routes]] section")]
     NoRoutes,
-    /// The document has more than [`ROUTES_MAX`].
+    /// The document has more than [`ROUTES_MAX`] routes.
     #[error("the document has {0} routes; split the service or merge paths, at most {ROUTES_MAX}")]
     ManyRoutes(usize),
-    /// A path that no request can have, or that two spellings could share.
+    /// The path cannot occur in a request or is not in its normal form.
     #[error("path {path:?} {why}; write it like \"/drafts\" or \"/\"")]
     Path { path: String, why: &'static str },
-    /// A route that carries nothing.
+    /// The route has no methods.
     #[error("the route has no methods; name them, such as methods = [\"GET\"]")]
     NoMethods,
-    /// A route names more than [`METHODS_MAX`] methods.
+    /// The route has more than [`METHODS_MAX`] methods.
     #[error("the route has {0} methods; name at most {METHODS_MAX}")]
     ManyMethods(usize),
-    /// A method that no request can have.
+    /// The method is not valid.
     #[error(
         "method {0:?} is not valid; use upper case letters and '-', such as \"GET\", at most 16"
     )]
     Method(String),
-    /// A method or service named twice in one list.
-    #[error("{0:?} stands twice in the list; remove one")]
-    Twice(String),
-    /// Two routes could carry the same request.
+    /// A method or service is listed twice.
+    #[error("{0:?} is listed twice; remove one")]
+    Duplicate(String),
+    /// Two routes match the same request.
     #[error(
         "{method} {path} is already carried by the route at line {line}; merge the routes or remove one"
     )]
-    DoubleRoute {
+    DuplicateRoute {
         method: String,
         path: String,
         line: usize,
     },
-    /// Two lines of one document contradict each other.
+    /// The class `exact` contradicts `repeat = "idempotent"`.
     #[error(
         "class = \"exact\" needs repeat = \"never\"; write so, or choose class = \"interactive\" if the request is idempotent"
     )]
-    ExactRepeats,
-    /// Whether a request that changes something may run again was left to a guess.
+    ExactIdempotent,
+    /// `repeat` is absent although the method is not safe.
     #[error(
-        "{0} may change something, so say whether it may run twice: add repeat = \"never\", or repeat = \"idempotent\" if running it again is harmless"
+        "{0} may change something, so state whether it may run twice: add repeat = \"never\", or repeat = \"idempotent\" if running it again is harmless"
     )]
-    RepeatUnsaid(String),
-    /// A route names more than [`USES_MAX`] services.
+    RepeatMissing(String),
+    /// The route uses more than [`USES_MAX`] services.
     #[error("the route uses {0} services; at most {USES_MAX}, split the route")]
     ManyUses(usize),
-    /// A service that uses itself would exist only because it exists.
+    /// The route uses its own service.
     #[error("the route uses its own service {0}; leave it out")]
     UsesSelf(Name),
-    /// The route would point at nothing.
+    /// The route uses a service that does not exist.
     #[error("the route uses {0}, which does not exist; submit {0} first, or correct the name")]
     Dangling(Name),
-    /// [`FAULTS_MAX`] was reached.
-    #[error("and {0} more faults; mend those above first")]
+    /// More than [`FAULTS_MAX`] faults were found.
+    #[error("and {0} more faults; fix those above first")]
     More(usize),
 }
 
-/// Most faults that one answer lists.
+/// Maximum number of faults in one error.
 pub const FAULTS_MAX: usize = 50;
 
 impl fmt::Display for BadDocument {
@@ -170,23 +170,23 @@
     }
 }
 
-/// The one of `known` that `word` was probably meant to be.
+/// Returns the most similar of `known`, if it is similar enough to be suggested for `word`.
 pub(super) fn nearest(word: &str, known: &[&'static str]) -> Option<&'static str> {
-    let word: String = word.chars().take(GUESS_MAX).collect();
+    let word: String = word.chars().take(COMPARED_CHARS).collect();
     known
         .iter()
         .map(|it| (strsim::jaro_winkler(&word, it), *it))
-        .filter(|(likeness, _)| *likeness >= GUESS_LIKENESS)
+        .filter(|(similarity, _)| *similarity >= SIMILARITY_MIN)
         .max_by(|lhs, rhs| lhs.0.total_cmp(&rhs.0))
         .map(|(_, it)| it)
 }
 
-/// Characters of a word that a guess looks at.
-const GUESS_MAX: usize = 64;
+/// Number of characters that are compared.
+const COMPARED_CHARS: usize = 64;
 
-/// Likeness from which a guess helps more than it misleads.
-const GUESS_LIKENESS: f64 = 0.8;
+/// Minimum similarity of a suggestion.
+const SIMILARITY_MIN: f64 = 0.8;
 
-fn guess(nearest: &Option<&'static str>) -> String {
+fn suggestion(nearest: &Option<&'static str>) -> String {
     nearest.map_or_else(String::new, |it| format!(", perhaps \"{it}\""))
 }
--- a/crates/kernel/src/document/read.rs
+++ b/crates/kernel/src/document/read.rs
@@ -1,4 +1,4 @@
-//! From text to a checked [`Document`].
+//! Parses and checks a [`Document`].
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,7 +10,7 @@
         METHOD_MAX, METHODS_MAX, OWNER_MAX, PATH_MAX, ROUTES_MAX, Repeat, Retry, Route, SCHEMA,
         USES_MAX, WAIT_MAX, Warmup,
         fault::{BadDocument, FaultKind, nearest},
-        table::{At, Faults, Section, clip, name, wrong},
+        table::{Faults, Located, Section, name, truncate, wrong_type},
         unit::{DURATION, SIZE},
     },
     id::Name,
@@ -21,38 +21,38 @@
 ];
 const ROUTE_KEYS: [&str; 6] = ["path", "methods", "class", "deadline", "repeat", "uses"];
 
-/// A document as read, with the place of each reference.
-pub(super) struct Read {
+/// A document with the place of each reference.
+pub(super) struct ParsedDocument {
     pub document: Document,
-    pub uses: Vec<At<Name>>,
+    pub uses: Vec<Located<Name>>,
 }
 
-/// Reads and checks `text`; lists every fault that can be told apart at once.
-pub(super) fn read(text: &str) -> Result<Read, BadDocument> {
+/// Parses and checks `text`. The error lists all faults that can be found in one pass.
+pub(super) fn read(text: &str) -> Result<ParsedDocument, BadDocument> {
     let mut faults = Faults::new(text);
     if text.len() > DOCUMENT_MAX {
-        faults.note(0, FaultKind::Oversized(text.len()));
+        faults.add(0, FaultKind::Oversized(text.len()));
         return faults.finish(None);
     }
     let (table, errors) = DeTable::parse_recoverable(text);
     for error in &errors {
         let offset = error.span().map_or(0, |it| it.start);
-        faults.note(offset, FaultKind::Syntax(error.message().to_owned()));
+        faults.add(offset, FaultKind::Syntax(error.message().to_owned()));
     }
-    // What is left of a text with broken syntax would only yield faults that are not there.
+    // After a syntax error, further checks would report faults that the text does not have.
     if !errors.is_empty() {
         return faults.finish(None);
     }
-    if let Some((offset, schema)) = newer(table.get_ref()) {
-        faults.note(offset, FaultKind::NewSchema(schema));
+    if let Some((offset, schema)) = newer_schema(table.get_ref()) {
+        faults.add(offset, FaultKind::NewSchema(schema));
         return faults.finish(None);
     }
     let value = document(&mut faults, table.get_ref());
     faults.finish(value)
 }
 
-/// The schema, if it is newer than [`SCHEMA`]: other faults would then mean nothing.
-fn newer(table: &DeTable<'_>) -> Option<At<u64>> {
+/// Returns the schema if it is newer than [`SCHEMA`]; other faults have no meaning then.
+fn newer_schema(table: &DeTable<'_>) -> Option<Located<u64>> {
     let value = table.get("schema")?;
     let DeValue::Integer(number) = value.get_ref() else {
         return None;
@@ -61,9 +61,9 @@
     (schema > u64::from(SCHEMA)).then(|| (value.span().start, schema))
 }
 
-fn document(faults: &mut Faults<'_>, table: &DeTable<'_>) -> Option<Read> {
+fn document(faults: &mut Faults<'_>, table: &DeTable<'_>) -> Option<ParsedDocument> {
     let root = Section::new(faults, "the document", 0, table, &DOCUMENT_KEYS);
-    root.demand(faults, "schema", "\"schema = 1\"");
+    root.require_key(faults, "schema", "\"schema = 1\"");
     let schema = root.count(faults, "schema", 1..=SCHEMA, SCHEMA);
     let service = root.name(faults, "service", "service = \"drafting-desk\"");
     let owner = owner(faults, &root);
@@ -96,14 +96,14 @@
         drain: Drain { grace },
         warmup: Warmup { ramp },
     };
-    Some(Read { document, uses })
+    Some(ParsedDocument { document, uses })
 }
 
 fn owner(faults: &mut Faults<'_>, root: &Section<'_, '_>) -> Option<String> {
     let (offset, text) = root.required(faults, "owner", "owner = \"drafting team\"")?;
     if text.trim().is_empty() || text.len() > OWNER_MAX || text.chars().any(char::is_control) {
         let (key, max) = ("owner", OWNER_MAX);
-        faults.note(offset, FaultKind::Text { key, max });
+        faults.add(offset, FaultKind::Text { key, max });
         return None;
     }
     Some(text.to_owned())
@@ -132,35 +132,39 @@
     faults: &mut Faults<'_>,
     root: &Section<'_, '_>,
     own: Option<&Name>,
-) -> (Vec<Route>, Vec<At<Name>>) {
+) -> (Vec<Route>, Vec<Located<Name>>) {
     let tables = root.list(faults, "routes");
     match tables.len() {
         0 if root.get("routes").is_none_or(|(_, it)| it.is_array()) => {
-            faults.note(root.offset, FaultKind::NoRoutes);
+            faults.add(root.offset, FaultKind::NoRoutes);
         }
         count if count > ROUTES_MAX => {
-            faults.note(tables[ROUTES_MAX].0, FaultKind::ManyRoutes(count));
+            faults.add(tables[ROUTES_MAX].0, FaultKind::ManyRoutes(count));
             return (Vec::new(), Vec::new());
         }
         _ => {}
     }
-    let mut carried = BTreeMap::new();
+    let mut first_lines = BTreeMap::new();
     let mut uses = Vec::new();
     let mut routes = Vec::new();
     for (offset, table) in tables {
         let section = Section::new(faults, "the route", offset, table, &ROUTE_KEYS);
-        let named = services(faults, &section, own);
-        if let Some(route) = route(faults, &section, &named) {
-            doubles(faults, offset, &route, &mut carried);
+        let route_uses = services(faults, &section, own);
+        if let Some(route) = route(faults, &section, &route_uses) {
+            check_duplicates(faults, offset, &route, &mut first_lines);
             routes.push(route);
         }
-        uses.extend(named);
+        uses.extend(route_uses);
     }
     routes.sort_by(|lhs, rhs| (rhs.path.len(), &lhs.path).cmp(&(lhs.path.len(), &rhs.path)));
     (routes, uses)
 }
 
-fn route(faults: &mut Faults<'_>, section: &Section<'_, '_>, uses: &[At<Name>]) -> Option<Route> {
+fn route(
+    faults: &mut Faults<'_>,
+    section: &Section<'_, '_>,
+    uses: &[Located<Name>],
+) -> Option<Route> {
     let path = path(faults, section);
     let methods = methods(faults, section);
     let class = class(faults, section);
@@ -197,8 +201,8 @@
         }
         Some(_) => return Some(Arc::from(path)),
     };
-    let path = clip(path);
-    faults.note(offset, FaultKind::Path { path, why });
+    let path = truncate(path);
+    faults.add(offset, FaultKind::Path { path, why });
     None
 }
 
@@ -206,19 +210,19 @@
     let texts = section.texts(faults, "methods", "methods = [\"GET\"]");
     if texts.is_empty() && section.get("methods").is_none_or(|(_, it)| it.is_array()) {
         let offset = section.get("methods").map_or(section.offset, |it| it.0);
-        faults.note(offset, FaultKind::NoMethods);
+        faults.add(offset, FaultKind::NoMethods);
     }
     if texts.len() > METHODS_MAX {
-        faults.note(texts[METHODS_MAX].0, FaultKind::ManyMethods(texts.len()));
+        faults.add(texts[METHODS_MAX].0, FaultKind::ManyMethods(texts.len()));
         return Vec::new();
     }
     let valid = |it: u8| it.is_ascii_uppercase() || it == b'-';
     let mut methods: Vec<Arc<str>> = Vec::new();
     for (offset, text) in texts {
         if text.is_empty() || text.len() > METHOD_MAX || !text.bytes().all(valid) {
-            faults.note(offset, FaultKind::Method(clip(text)));
+            faults.add(offset, FaultKind::Method(truncate(text)));
         } else if methods.iter().any(|it| &**it == text) {
-            faults.note(offset, FaultKind::Twice(text.to_owned()));
+            faults.add(offset, FaultKind::Duplicate(text.to_owned()));
         } else {
             methods.push(Arc::from(text));
         }
@@ -236,11 +240,11 @@
         Some((offset, other)) => {
             let kind = FaultKind::Choice {
                 key: "class",
-                value: clip(other),
+                value: truncate(other),
                 choices,
                 nearest: nearest(other, &["interactive", "exact", "background"]),
             };
-            faults.note(offset, kind);
+            faults.add(offset, kind);
             Class::Interactive
         }
     }
@@ -253,38 +257,38 @@
     methods: &[Arc<str>],
 ) -> Repeat {
     let choices = "\"idempotent\" or \"never\"";
-    let said = match section.get("repeat") {
-        None => return unsaid(faults, section, class, methods),
+    let value = match section.get("repeat") {
+        None => return default_repeat(faults, section, class, methods),
         Some((offset, DeValue::String(it))) => (offset, it.as_ref()),
         Some((offset, other)) => {
-            faults.note(offset, wrong("repeat", other, choices));
+            faults.add(offset, wrong_type("repeat", other, choices));
             return Repeat::Never;
         }
     };
-    match said {
+    match value {
         (_, "never") => Repeat::Never,
         (offset, "idempotent") => {
             if class == Class::Exact {
-                faults.note(offset, FaultKind::ExactRepeats);
+                faults.add(offset, FaultKind::ExactIdempotent);
             }
             Repeat::Idempotent
         }
         (offset, other) => {
             let kind = FaultKind::Choice {
                 key: "repeat",
-                value: clip(other),
+                value: truncate(other),
                 choices,
                 nearest: nearest(other, &["idempotent", "never"]),
             };
-            faults.note(offset, kind);
+            faults.add(offset, kind);
             Repeat::Never
         }
     }
 }
 
-/// The default of `repeat`. A wrong guess would run a filing twice, or refuse every save that lacks an
-/// `Idempotency-Key`; so only safe methods have one.
-fn unsaid(
+/// Returns the default of `repeat`. Only safe methods have one: a wrong default would run requests twice, or refuse
+/// those without an `Idempotency-Key`.
+fn default_repeat(
     faults: &mut Faults<'_>,
     section: &Section<'_, '_>,
     class: Class,
@@ -295,33 +299,33 @@
     }
     let unsafe_method = methods.iter().find(|it| !SAFE_METHODS.contains(&&***it));
     if let Some(method) = unsafe_method {
-        faults.note(section.offset, FaultKind::RepeatUnsaid(method.to_string()));
+        faults.add(section.offset, FaultKind::RepeatMissing(method.to_string()));
     }
     Repeat::Idempotent
 }
 
-/// Methods that change nothing, by RFC 9110.
+/// Safe methods as defined by RFC 9110.
 const SAFE_METHODS: [&str; 4] = ["GET", "HEAD", "OPTIONS", "TRACE"];
 
 fn services(
     faults: &mut Faults<'_>,
     section: &Section<'_, '_>,
     own: Option<&Name>,
-) -> Vec<At<Name>> {
+) -> Vec<Located<Name>> {
     let texts = section.texts(faults, "uses", "uses = [\"court-registry\"]");
     if texts.len() > USES_MAX {
-        faults.note(texts[USES_MAX].0, FaultKind::ManyUses(texts.len()));
+        faults.add(texts[USES_MAX].0, FaultKind::ManyUses(texts.len()));
         return Vec::new();
     }
-    let mut uses: Vec<At<Name>> = Vec::new();
+    let mut uses: Vec<Located<Name>> = Vec::new();
     for (offset, text) in texts {
         let Some(service) = name(faults, (offset, text)) else {
             continue;
         };
         if Some(&service) == own {
-            faults.note(offset, FaultKind::UsesSelf(service));
+            faults.add(offset, FaultKind::UsesSelf(service));
         } else if uses.iter().any(|(_, it)| *it == service) {
-            faults.note(offset, FaultKind::Twice(service.to_string()));
+            faults.add(offset, FaultKind::Duplicate(service.to_string()));
         } else {
             uses.push((offset, service));
         }
@@ -329,27 +333,27 @@
     uses
 }
 
-/// Notes each request of `route` that an earlier one carries too: which of them wins would be chance.
-fn doubles(
+/// Reports each method of `route` that an earlier route with the same path has too.
+fn check_duplicates(
     faults: &mut Faults<'_>,
     offset: usize,
     route: &Route,
-    carried: &mut BTreeMap<(Arc<str>, Arc<str>), usize>,
+    first_lines: &mut BTreeMap<(Arc<str>, Arc<str>), usize>,
 ) {
     let line = faults.line(offset);
     for method in &route.methods {
         let key = (route.path.clone(), method.clone());
-        match carried.get(&key) {
+        match first_lines.get(&key) {
             Some(first) => {
-                let kind = FaultKind::DoubleRoute {
+                let kind = FaultKind::DuplicateRoute {
                     method: method.to_string(),
-                    path: clip(&route.path),
+                    path: truncate(&route.path),
                     line: *first,
                 };
-                faults.note(offset, kind);
+                faults.add(offset, kind);
             }
             None => {
-                carried.insert(key, line);
+                first_lines.insert(key, line);
             }
         }
     }
--- a/crates/kernel/src/document/table.rs
+++ b/crates/kernel/src/document/table.rs
@@ -1,4 +1,4 @@
-//! Typed access to one section of a document; every fault is noted and reading goes on.
+//! Typed access to the sections of a document. Faults are collected, and reading continues.
 
 use std::ops::{Range, RangeInclusive};
 
@@ -13,16 +13,16 @@
     id::Name,
 };
 
-/// Faults found so far in one text.
+/// Collects the faults of a text.
 pub(super) struct Faults<'a> {
     text: &'a str,
-    /// Where each line starts.
+    /// Byte offset of each line.
     lines: Vec<usize>,
     found: Vec<(usize, FaultKind)>,
 }
 
 impl<'a> Faults<'a> {
-    /// No faults in `text` yet.
+    /// Creates an empty collection for `text`.
     pub fn new(text: &'a str) -> Faults<'a> {
         let breaks = text.match_indices('\n').map(|(offset, _)| offset + 1);
         Faults {
@@ -32,17 +32,17 @@
         }
     }
 
-    /// Notes a fault at a byte offset.
-    pub fn note(&mut self, offset: usize, kind: FaultKind) {
+    /// Adds a fault at a byte offset.
+    pub fn add(&mut self, offset: usize, kind: FaultKind) {
         self.found.push((offset, kind));
     }
 
-    /// The line of a byte offset, from 1.
+    /// Returns the line of a byte offset, starting at 1.
     pub fn line(&self, offset: usize) -> usize {
         self.lines.partition_point(|it| *it <= offset)
     }
 
-    /// `value` if there is one and no fault was noted; otherwise the faults in the order of the text.
+    /// Returns `value` if it is present and no fault was added, otherwise the faults in the order of the text.
     pub fn finish<T>(mut self, value: Option<T>) -> Result<T, BadDocument> {
         if let Some(value) = value
             && self.found.is_empty()
@@ -66,7 +66,7 @@
         })
     }
 
-    /// The column of a byte offset in characters, from 1.
+    /// Returns the column of a byte offset in characters, starting at 1.
     fn column(&self, offset: usize) -> usize {
         let start = self.lines[self.line(offset) - 1];
         let chars = self.text[start..].char_indices();
@@ -74,20 +74,20 @@
     }
 }
 
-/// One section: the document itself, a route or a table of settings.
+/// A section: the document itself, a route or a table of settings.
 pub(super) struct Section<'a, 'i> {
-    /// What messages call it.
+    /// Name of the section in messages.
     pub name: &'static str,
-    /// Where it starts.
+    /// Byte offset of the section.
     pub offset: usize,
     table: Option<&'a DeTable<'i>>,
 }
 
-/// A value with its place.
-pub(super) type At<T> = (usize, T);
+/// A value with its byte offset.
+pub(super) type Located<T> = (usize, T);
 
 impl<'a, 'i> Section<'a, 'i> {
-    /// The section `table`; notes each key that is not `known`.
+    /// Creates the section of `table`. Adds a fault for each key that is not in `known`.
     pub fn new(
         faults: &mut Faults<'_>,
         name: &'static str,
@@ -99,11 +99,11 @@
             let word = key.get_ref();
             if !known.contains(&word.as_ref()) {
                 let kind = FaultKind::UnknownKey {
-                    key: clip(word),
+                    key: truncate(word),
                     section: name,
                     nearest: nearest(word, known),
                 };
-                faults.note(key.span().start, kind);
+                faults.add(key.span().start, kind);
             }
         }
         Section {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The section under `key`, empty if absent.
+    /// Returns the section under `key`, empty if absent.
     pub fn section(
         &self,
         faults: &mut Faults<'_>,
@@ -131,62 +131,66 @@
                 Section::new(faults, key, offset, table, known)
             }
             Some((offset, other)) => {
-                faults.note(offset, wrong(key, other, "a section such as [limits]"));
+                faults.add(offset, wrong_type(key, other, "a section such as [limits]"));
                 absent
             }
         }
     }
 
     /// The sections of the list under `key`, absent counting as empty.
-    pub fn list(&self, faults: &mut Faults<'_>, key: &'static str) -> Vec<At<&'a DeTable<'i>>> {
+    pub fn list(
+        &self,
+        faults: &mut Faults<'_>,
+        key: &'static str,
+    ) -> Vec<Located<&'a DeTable<'i>>> {
         let example = "sections such as [[routes]]";
         let items = match self.get(key) {
             None => return Vec::new(),
             Some((_, DeValue::Array(items))) => items,
             Some((offset, other)) => {
-                faults.note(offset, wrong(key, other, example));
+                faults.add(offset, wrong_type(key, other, example));
                 return Vec::new();
             }
         };
         let tables = items.iter().filter_map(|it| match it.get_ref() {
             DeValue::Table(table) => Some((it.span().start, table)),
             other => {
-                faults.note(it.span().start, wrong(key, other, example));
+                faults.add(it.span().start, wrong_type(key, other, example));
                 None
             }
         });
         tables.collect()
     }
 
-    /// The text under `key`, if present.
+    /// Returns the text under `key`, if present.
     pub fn text(
         &self,
         faults: &mut Faults<'_>,
         key: &'static str,
         example: &'static str,
-    ) -> Option<At<&'a str>> {
+    ) -> Option<Located<&'a str>> {
         match self.get(key)? {
             (offset, DeValue::String(text)) => Some((offset, text.as_ref())),
             (offset, other) => {
-                faults.note(offset, wrong(key, other, example));
+                faults.add(offset, wrong_type(key, other, example));
                 None
             }
         }
     }
 
-    /// The text under `key`, which has no default.
+    /// Returns the text under the required `key`.
     pub fn required(
         &self,
         faults: &mut Faults<'_>,
         key: &'static str,
         example: &'static str,
-    ) -> Option<At<&'a str>> {
-        self.demand(faults, key, example);
+    ) -> Option<Located<&'a str>> {
+        self.require_key(faults, key, example);
         self.text(faults, key, example)
     }
 
-    /// Notes a fault if `key` is absent.
-    pub fn demand(&self, faults: &mut Faults<'_>, key: &'static str, example: &'static str) {
+    /// Adds a fault if `key` is absent.
+    pub fn require_key(&self, faults: &mut Faults<'_>, key: &'static str, example: &'static str) {
         if self.get(key).is_none() {
             let section = self.name;
             let kind = FaultKind::Missing {
@@ -194,47 +198,47 @@
                 section,
                 example,
             };
-            faults.note(self.offset, kind);
+            faults.add(self.offset, kind);
         }
     }
 
-    /// The list of texts under `key`, absent counting as empty.
+    /// Returns the list of texts under `key`, empty if absent.
     pub fn texts(
         &self,
         faults: &mut Faults<'_>,
         key: &'static str,
         example: &'static str,
-    ) -> Vec<At<&'a str>> {
+    ) -> Vec<Located<&'a str>> {
         let items = match self.get(key) {
             None => return Vec::new(),
             Some((_, DeValue::Array(items))) => items,
             Some((offset, other)) => {
-                faults.note(offset, wrong(key, other, example));
+                faults.add(offset, wrong_type(key, other, example));
                 return Vec::new();
             }
         };
         let texts = items.iter().filter_map(|it| match it.get_ref() {
             DeValue::String(text) => Some((it.span().start, text.as_ref())),
             other => {
-                faults.note(it.span().start, wrong(key, other, example));
+                faults.add(it.span().start, wrong_type(key, other, example));
                 None
             }
         });
         texts.collect()
     }
 
-    /// The name under `key`, which has no default.
+    /// Returns the service name under the required `key`.
     pub fn name(
         &self,
         faults: &mut Faults<'_>,
         key: &'static str,
         example: &'static str,
-    ) -> Option<At<Name>> {
+    ) -> Option<Located<Name>> {
         let (offset, text) = self.required(faults, key, example)?;
         name(faults, (offset, text)).map(|it| (offset, it))
     }
 
-    /// The whole number under `key`, or `default`.
+    /// Returns the whole number under `key`, or `default`.
     pub fn count(
         &self,
         faults: &mut Faults<'_>,
@@ -253,20 +257,20 @@
                 (offset, u32::from_str_radix(it.as_str(), it.radix()).ok())
             }
             Some((offset, other)) => {
-                faults.note(offset, wrong(key, other, "a whole number"));
+                faults.add(offset, wrong_type(key, other, "a whole number"));
                 return default;
             }
         };
         match value.filter(|it| bounds.contains(it)) {
             Some(value) => value,
             None => {
-                faults.note(offset, out);
+                faults.add(offset, out);
                 default
             }
         }
     }
 
-    /// The duration or size under `key`, or `default`.
+    /// Returns the duration or size under `key`, or `default`.
     pub fn quantity(
         &self,
         faults: &mut Faults<'_>,
@@ -281,12 +285,12 @@
         let Some(value) = quantity.read(text) else {
             let kind = FaultKind::Unit {
                 key,
-                text: clip(text),
+                text: truncate(text),
                 what: quantity.what,
                 units: quantity.units,
                 example: quantity.example,
             };
-            faults.note(offset, kind);
+            faults.add(offset, kind);
             return default;
         };
         if !bounds.contains(&value) {
@@ -295,42 +299,46 @@
                 min: quantity.write(*bounds.start()),
                 max: quantity.write(*bounds.end()),
             };
-            faults.note(offset, kind);
+            faults.add(offset, kind);
         }
         value
     }
 
-    /// The value under `key` and where it starts.
-    pub fn get(&self, key: &str) -> Option<At<&'a DeValue<'i>>> {
+    /// Returns the value under `key` with its byte offset.
+    pub fn get(&self, key: &str) -> Option<Located<&'a DeValue<'i>>> {
         let value: &Spanned<DeValue<'i>> = self.table?.get(key)?;
         let span: Range<usize> = value.span();
         Some((span.start, value.get_ref()))
     }
 }
 
-/// Reads a service's name.
-pub(super) fn name(faults: &mut Faults<'_>, (offset, text): At<&str>) -> Option<Name> {
+/// Parses the name of a service.
+pub(super) fn name(faults: &mut Faults<'_>, (offset, text): Located<&str>) -> Option<Name> {
     match text.parse() {
         Ok(name) => Some(name),
         Err(error) => {
-            faults.note(offset, FaultKind::Name(error));
+            faults.add(offset, FaultKind::Name(error));
             None
         }
     }
 }
 
-/// At most [`CLIP_MAX`] characters of `text`, so that no message repeats a whole document.
-pub(super) fn clip(text: &str) -> String {
-    match text.char_indices().nth(CLIP_MAX) {
+/// Truncates `text` to [`TRUNCATE_MAX`] characters, so that no message repeats a whole document.
+pub(super) fn truncate(text: &str) -> String {
+    match text.char_indices().nth(TRUNCATE_MAX) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text.to_owned(),
     }
 }
 
-const CLIP_MAX: usize = 60;
+const TRUNCATE_MAX: usize = 60;
 
-/// The fault of a value of another type.
-pub(super) fn wrong(key: &'static str, value: &DeValue<'_>, example: &'static str) -> FaultKind {
+/// Returns the fault of a value with the wrong type.
+pub(super) fn wrong_type(
+    key: &'static str,
+    value: &DeValue<'_>,
+    example: &'static str,
+) -> FaultKind {
     let found = match value {
         DeValue::String(_) => "text",
         DeValue::Integer(_) => "a whole number",
--- a/crates/kernel/src/document/unit.rs
+++ b/crates/kernel/src/document/unit.rs
@@ -1,16 +1,16 @@
-//! Durations and sizes as text with a unit.
+//! Durations and sizes with units.
 
-/// A unit and what it stands for.
+/// A unit and its factor.
 type Unit = (&'static str, u64);
 
 /// A kind of quantity.
 #[derive(Debug)]
 pub(super) struct Quantity {
-    /// What a value is called in messages.
+    /// Name of the kind in messages.
     pub what: &'static str,
-    /// The units, as messages list them.
+    /// The units as listed in messages.
     pub units: &'static str,
-    /// A valid value, quoted.
+    /// Quoted examples of valid values.
     pub example: &'static str,
     scale: &'static [Unit],
 }
@@ -32,7 +32,7 @@
 };
 
 impl Quantity {
-    /// Reads `text`: digits, perhaps one space, and a unit. Saturates at the top.
+    /// Parses `text`: digits, an optional space and a unit. Saturates on overflow.
     pub fn read(&self, text: &str) -> Option<u64> {
         let digits = text.bytes().take_while(u8::is_ascii_digit).count();
         let (number, rest) = text.split_at(digits);
@@ -44,7 +44,7 @@
         (digits > 0).then(|| saturated.saturating_mul(*factor))
     }
 
-    /// Writes `value` in the largest unit that divides it.
+    /// Formats `value` in the largest unit that divides it.
     pub fn write(&self, value: u64) -> String {
         let (name, factor) = self
             .scale
--- a/crates/kernel/src/log.rs
+++ b/crates/kernel/src/log.rs
@@ -1,4 +1,4 @@
-//! The applied configuration: a prefix of the log in the platform's table.
+//! The configuration applied on this node: a prefix of the log in the platform's table.
 
 mod advance;
 mod hold;
@@ -35,81 +35,81 @@
 pub struct Batch {
     /// Position in the log.
     pub seq: Seq,
-    /// At most one change a service.
+    /// Changes, at most one per service.
     pub changes: Vec<Change>,
 }
 
 /// One accepted change of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The submission that made it.
+    /// Id of the submission.
     pub id: SubmitId,
-    /// The service changed.
+    /// The changed service.
     pub service: Name,
     /// The revision that the submitter had read; zero for a new service.
     pub base: Revision,
-    /// The revision that the change makes: the number of its batch, so that a service that is deleted
-    /// and made anew never has a revision twice.
+    /// The new revision: the number of the batch, so that a service that is deleted and created again never reuses
+    /// a revision.
     pub revision: Revision,
-    /// What became of the document.
+    /// The change of the document.
     pub edit: Edit,
     /// Who submitted it.
     pub author: String,
-    /// Why, in the submitter's words.
+    /// Reason given by the submitter.
     pub reason: String,
-    /// When the committer took it.
+    /// Time of the commit by the committer's clock.
     pub time: Ms,
 }
 
-/// What a change does to a service's document.
+/// Change of a service's document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Edit {
-    /// The document now reads so (TOML).
+    /// Creates or replaces the document with this text (TOML).
     Put { text: String },
-    /// The service is gone.
+    /// Deletes the service.
     Delete,
 }
 
-/// One service as this node holds it.
+/// A service in force on this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Revision in force here.
+    /// Revision in force on this node.
     pub revision: Revision,
-    /// The document's text.
+    /// Text of the document.
     pub text: Arc<str>,
-    /// The document, checked.
+    /// The parsed document.
     pub document: Arc<Document>,
 }
 
 /// The newest accepted version of a service, whether or not this node can use it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Latest {
-    /// Its revision.
+    /// The accepted revision.
     pub revision: Revision,
-    /// The document's text.
+    /// Text of the document.
     pub text: Arc<str>,
     /// Who submitted it.
     pub author: Arc<str>,
-    /// The document, or why this node refuses it.
+    /// The parsed document, or why this node refuses it.
     pub document: Result<Arc<Document>, Arc<str>>,
 }
 
-/// Whether a batch was applied.
+/// Result of applying a batch or snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// The log grew by this batch.
+    /// It was applied.
     Yes,
-    /// The batch is already part of the log.
+    /// The log already contains it.
     Old,
     /// Batches before it are missing.
     Gap,
 }
 
-/// The applied configuration and the batches that led to it.
+/// The applied configuration and the recent batches that led to it.
 ///
-/// `latest` is the accepted configuration; `services` is what is in force on this node. They differ only
-/// by the services in `held`.
+/// `latest` is the accepted configuration, `services` the one in force on this node. They differ only in the
+/// services in `held`.
 #[derive(Debug, Default)]
 pub struct Log {
     seq: Seq,
@@ -118,67 +118,66 @@
     held: BTreeMap<Name, Held>,
     reports: Vec<Held>,
     accepted: BTreeMap<SubmitId, Seq>,
-    order: VecDeque<(Seq, Vec<SubmitId>)>,
-    sum: u64,
+    id_order: VecDeque<(Seq, Vec<SubmitId>)>,
+    hash_sum: u64,
     tail: VecDeque<Arc<Batch>>,
     tail_bytes: usize,
 }
 
-/// Batches kept for peers that lag.
+/// Maximum number of batches that are retained for lagging peers.
 pub const TAIL_MAX: usize = 1024;
 
-/// Bytes of documents in the batches kept for peers that lag.
+/// Maximum size of the documents in the batches that are retained for lagging peers, in bytes.
 pub const TAIL_BYTES: usize = 4 << 20;
 
-/// Submission ids kept to recognise a submission that is sent again; the oldest batches' go first.
+/// Maximum number of submission ids that are retained to recognise repeated submissions; the oldest are dropped.
 ///
-/// At 1,300 changes a day this is three days. A node without the id of a submission that old would take it
-/// as new; its base revision has passed by then, so it is refused, unless the service was deleted
-/// meanwhile and the submission is one that creates it.
+/// A repeated submission with a dropped id is refused because its base revision is outdated, unless it creates a
+/// service that was deleted in the meantime.
 pub const IDS_MAX: usize = 4096;
 
 impl Log {
-    /// The last batch applied.
+    /// Returns the position of the last applied batch.
     pub fn seq(&self) -> Seq {
         self.seq
     }
 
-    /// Every service in force here.
+    /// Returns the services in force on this node.
     pub fn services(&self) -> &BTreeMap<Name, Service> {
         &self.services
     }
 
-    /// The accepted configuration, with the versions that this node refuses.
+    /// Returns the accepted configuration, including versions that this node refuses.
     pub fn latest(&self) -> &BTreeMap<Name, Latest> {
         &self.latest
     }
 
-    /// The services of which an older version stays in force here than the accepted one.
+    /// Returns the services whose accepted version is not in force on this node.
     pub fn held(&self) -> &BTreeMap<Name, Held> {
         &self.held
     }
 
-    /// Where the submission `id` was accepted, as far back as [`IDS_MAX`] reaches.
+    /// Returns the position at which submission `id` was accepted, among the last [`IDS_MAX`] submissions.
     pub fn accepted(&self, id: SubmitId) -> Option<Seq> {
         self.accepted.get(&id).copied()
     }
 
-    /// Stands for the accepted configuration at [`Log::seq`]: equal on two nodes that hold the same.
+    /// Returns a digest of the accepted configuration at [`Log::seq`].
     pub fn digest(&self) -> u64 {
-        hash64(&[&self.seq.0.to_le_bytes(), &self.sum.to_le_bytes()])
+        hash64(&[&self.seq.0.to_le_bytes(), &self.hash_sum.to_le_bytes()])
     }
 
-    /// The batches after `seq`, in order, or nothing if the oldest of them is no longer kept.
+    /// Returns the batches after `seq`, in order, or `None` if not all of them are retained.
     pub fn after(&self, seq: Seq) -> Option<Vec<Arc<Batch>>> {
         let first = self.tail.front().map_or(self.seq.0 + 1, |it| it.seq.0);
         if seq.0.saturating_add(1) < first {
             return None;
         }
-        let lacking = self.tail.iter().filter(|it| it.seq > seq);
-        Some(lacking.cloned().collect())
+        let missing = self.tail.iter().filter(|it| it.seq > seq);
+        Some(missing.cloned().collect())
     }
 
-    /// The text of `service` at `revision`, if a recent batch made it.
+    /// Returns the text of `service` at `revision`, if a retained batch contains it.
     pub fn text_at(&self, service: &Name, revision: Revision) -> Option<&str> {
         let changes = self.tail.iter().rev().flat_map(|it| &it.changes);
         let mut made = changes.filter(|it| it.service == *service && it.revision == revision);
@@ -188,7 +187,7 @@
         }
     }
 
-    /// Who changed `service` last, if a recent batch did.
+    /// Returns the author of the last change of `service` in a retained batch, or an empty string.
     pub fn last_author(&self, service: &Name) -> String {
         let mut changes = self.tail.iter().rev().flat_map(|it| &it.changes);
         let last = changes.find(|it| it.service == *service);
@@ -204,18 +203,18 @@
             return Applied::Gap;
         }
         for change in &batch.changes {
-            self.learn(change);
+            self.apply_change(change);
         }
         self.seq = batch.seq;
         let ids = batch.changes.iter().map(|it| it.id).collect();
-        self.remember(batch.seq, ids);
+        self.record_ids(batch.seq, ids);
         let changed = batch.changes.iter().map(|it| it.service.clone()).collect();
-        self.settle(changed);
-        self.keep(batch);
+        self.update_in_force(changed);
+        self.retain_batch(batch);
         Applied::Yes
     }
 
-    /// The accepted configuration as one value.
+    /// Returns the accepted configuration as one value.
     pub fn snapshot(&self) -> Snapshot {
         let services = self.latest.iter().map(|(name, it)| SnapshotService {
             name: name.clone(),
@@ -227,35 +226,35 @@
             seq: self.seq,
             digest: self.digest(),
             services: services.collect(),
-            ids: self.order.iter().cloned().collect(),
+            ids: self.id_order.iter().cloned().collect(),
         }
     }
 
-    /// Takes over `snapshot` if it is ahead of the log; the log never moves back.
+    /// Replaces the configuration by `snapshot` if it is ahead of the log.
     pub fn install(&mut self, snapshot: &Snapshot) -> Applied {
         if snapshot.seq <= self.seq {
             return Applied::Old;
         }
         let mut changed: BTreeSet<Name> = self.latest.keys().cloned().collect();
         self.latest.clear();
-        self.sum = 0;
+        self.hash_sum = 0;
         for it in &snapshot.services {
             changed.insert(it.name.clone());
             self.insert(&it.name, it.revision, &it.text, &it.author);
         }
         self.seq = snapshot.seq;
         self.accepted.clear();
-        self.order.clear();
+        self.id_order.clear();
         for (seq, ids) in &snapshot.ids {
-            self.remember(*seq, ids.clone());
+            self.record_ids(*seq, ids.clone());
         }
-        self.settle(changed);
+        self.update_in_force(changed);
         self.tail.clear();
         self.tail_bytes = 0;
         Applied::Yes
     }
 
-    fn learn(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         match &change.edit {
             Edit::Put { text } => {
                 self.insert(&change.service, change.revision, text, &change.author);
@@ -277,25 +276,25 @@
             author: author.into(),
             document,
         };
-        self.sum = self
-            .sum
-            .wrapping_add(weight(name, latest.revision, &latest.text));
+        self.hash_sum =
+            self.hash_sum
+                .wrapping_add(service_hash(name, latest.revision, &latest.text));
         self.latest.insert(name.clone(), latest);
     }
 
     fn remove(&mut self, name: &Name) {
         if let Some(latest) = self.latest.remove(name) {
-            self.sum = self
-                .sum
-                .wrapping_sub(weight(name, latest.revision, &latest.text));
+            self.hash_sum =
+                self.hash_sum
+                    .wrapping_sub(service_hash(name, latest.revision, &latest.text));
         }
     }
 
-    fn remember(&mut self, seq: Seq, ids: Vec<SubmitId>) {
+    fn record_ids(&mut self, seq: Seq, ids: Vec<SubmitId>) {
         self.accepted.extend(ids.iter().map(|id| (*id, seq)));
-        self.order.push_back((seq, ids));
+        self.id_order.push_back((seq, ids));
         while self.accepted.len() > IDS_MAX
-            && let Some((_, ids)) = self.order.pop_front()
+            && let Some((_, ids)) = self.id_order.pop_front()
         {
             for id in ids {
                 self.accepted.remove(&id);
@@ -303,7 +302,7 @@
         }
     }
 
-    fn keep(&mut self, batch: Arc<Batch>) {
+    fn retain_batch(&mut self, batch: Arc<Batch>) {
         self.tail_bytes += batch.len();
         self.tail.push_back(batch);
         while (self.tail.len() > TAIL_MAX || self.tail_bytes > TAIL_BYTES)
@@ -315,12 +314,12 @@
 }
 
 impl Batch {
-    /// Bytes of the documents in it.
+    /// Returns the size of the documents in bytes.
     pub fn len(&self) -> usize {
         self.changes.iter().map(Change::len).sum()
     }
 
-    /// Whether it holds no document.
+    /// Returns whether the batch contains no document.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -335,17 +334,17 @@
     }
 }
 
-/// A service's part of the digest; the parts are added, so a change costs one hash.
-fn weight(name: &Name, revision: Revision, text: &str) -> u64 {
+/// Returns a service's part of the digest. The parts are summed, so that a change costs one hash.
+fn service_hash(name: &Name, revision: Revision, text: &str) -> u64 {
     let revision = revision.0.to_le_bytes();
     hash64(&[name.as_str().as_bytes(), &revision, text.as_bytes()])
 }
 
 fn handle(cx: &mut Context<'_>, state: &mut State, event: &Event) {
-    state.recovery.drive(cx, &mut state.log, event);
+    state.recovery.handle_event(cx, &mut state.log, event);
     if let Event::Notice(Notice::Applied { .. }) = event {
         for held in state.log.take_reports() {
-            held.log(cx);
+            held.write_log(cx);
         }
     }
 }
--- a/crates/kernel/src/log/advance.rs
+++ b/crates/kernel/src/log/advance.rs
@@ -1,68 +1,68 @@
-//! Moving the log over several batches at once, by their net difference.
+//! Applies the net difference of several batches at once.
 
 use std::{collections::BTreeSet, sync::Arc};
 
 use crate::{
     id::{Name, Seq, SubmitId},
-    log::{Batch, Change, Edit, Log, weight},
+    log::{Batch, Change, Edit, Log, service_hash},
     utils::hash64,
 };
 
-/// The net difference between two positions of the log.
+/// Net difference between two positions of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advance {
-    /// The position that it leads to.
+    /// Position after the changes.
     pub to: Seq,
-    /// [`Log::digest`] there.
+    /// [`Log::digest`] after the changes.
     pub digest: u64,
-    /// At most one change a service: its last.
+    /// The last change of each changed service.
     pub changes: Vec<Change>,
-    /// Submissions of the batches on the way.
+    /// Submissions of the batches up to the position.
     pub ids: Vec<(Seq, Vec<SubmitId>)>,
 }
 
-/// An [`Advance`] leads to another configuration than its digest stands for; the log is unchanged.
+/// The result of an [`Advance`] does not match its digest; the log is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the changes do not lead to the configuration that they name; fetch the whole one")]
+#[error("the changes do not match their digest; fetch the whole configuration")]
 pub struct Diverged;
 
 impl Log {
-    /// Moves to `next.to`, or stays where it is if that is behind or the digest does not fit.
+    /// Applies `next`. Fails without a change if its position is behind the log or its digest does not match.
     pub fn advance(&mut self, next: Advance) -> Result<(), Diverged> {
-        let sum = next.changes.iter().fold(self.sum, |sum, change| {
+        let sum = next.changes.iter().fold(self.hash_sum, |sum, change| {
             let old = self.latest.get(&change.service);
-            let old = old.map_or(0, |it| weight(&change.service, it.revision, &it.text));
-            sum.wrapping_sub(old).wrapping_add(weight_after(change))
+            let old = old.map_or(0, |it| service_hash(&change.service, it.revision, &it.text));
+            sum.wrapping_sub(old).wrapping_add(changed_hash(change))
         });
         let digest = hash64(&[&next.to.0.to_le_bytes(), &sum.to_le_bytes()]);
         if next.to < self.seq || digest != next.digest {
             return Err(Diverged);
         }
-        next.changes.iter().for_each(|it| self.learn(it));
+        next.changes.iter().for_each(|it| self.apply_change(it));
         for (seq, ids) in next.ids {
             if seq > self.seq {
-                self.remember(seq, ids);
+                self.record_ids(seq, ids);
             }
         }
         self.seq = next.to;
         let changed: BTreeSet<Name> = next.changes.iter().map(|it| it.service.clone()).collect();
-        self.settle(changed);
-        self.keep(Arc::new(Batch {
+        self.update_in_force(changed);
+        self.retain_batch(Arc::new(Batch {
             seq: next.to,
             changes: next.changes,
         }));
         Ok(())
     }
 
-    /// The submissions of the batches after `seq`, oldest first, as far back as they are kept.
+    /// Returns the retained submissions of the batches after `seq`, oldest first.
     pub fn ids_after(&self, seq: Seq) -> impl Iterator<Item = &(Seq, Vec<SubmitId>)> {
-        self.order.iter().filter(move |it| it.0 > seq)
+        self.id_order.iter().filter(move |it| it.0 > seq)
     }
 }
 
-fn weight_after(change: &Change) -> u64 {
+fn changed_hash(change: &Change) -> u64 {
     match &change.edit {
-        Edit::Put { text } => weight(&change.service, change.revision, text),
+        Edit::Put { text } => service_hash(&change.service, change.revision, text),
         Edit::Delete => 0,
     }
 }
--- a/crates/kernel/src/log/hold.rs
+++ b/crates/kernel/src/log/hold.rs
@@ -1,4 +1,4 @@
-//! Which accepted versions this node may put in force.
+//! Decides which accepted versions this node puts in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,20 +8,20 @@
     log::{Log, Service},
 };
 
-/// A service of which an older version (or none, or a deleted one) stays in force on this node.
+/// A service whose accepted version or deletion is not in force on this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Held {
     /// The service.
     pub service: Name,
-    /// The accepted revision that is not in force here; zero for a deletion.
+    /// The accepted revision; zero for a deletion.
     pub revision: Revision,
-    /// Why not.
+    /// Why it is not in force.
     pub why: String,
 }
 
 impl Held {
-    /// Reports it as one log line.
-    pub(super) fn log(&self, cx: &mut Context<'_>) {
+    /// Writes a log line.
+    pub(super) fn write_log(&self, cx: &mut Context<'_>) {
         let pairs = vec![
             ("service", self.service.to_string()),
             ("revision", self.revision.to_string()),
@@ -32,74 +32,76 @@
 }
 
 impl Log {
-    /// The services newly held since the last call, each reported once.
+    /// Returns the services that are newly held since the last call.
     pub fn take_reports(&mut self) -> Vec<Held> {
         std::mem::take(&mut self.reports)
     }
 
-    /// Puts every accepted version in force that this node can use, after `changed` changed.
+    /// Puts the accepted versions of the services in `changed` in force, as far as this node can use them.
     ///
-    /// A node may be older than a document's schema. Were the refused version just left out, a route of
-    /// another service could name a version that is not there, or a service that is gone; so every version
-    /// that needs a held one is held too, until nothing more follows. The versions in force before resolve
-    /// among themselves, and holding only ever keeps such a version, so the result resolves.
-    pub(super) fn settle(&mut self, changed: BTreeSet<Name>) {
-        let mut open = changed;
-        open.extend(self.held.keys().cloned());
+    /// A node may be too old for a document's schema. A version that needs a held one is held too, transitively, so
+    /// that all routes in force resolve.
+    pub(super) fn update_in_force(&mut self, changed: BTreeSet<Name>) {
+        let mut candidates = changed;
+        candidates.extend(self.held.keys().cloned());
         let mut held: BTreeMap<Name, String> = BTreeMap::new();
         loop {
-            let more: Vec<(Name, String)> = open
+            let newly_held: Vec<(Name, String)> = candidates
                 .iter()
                 .filter(|name| !held.contains_key(*name))
-                .filter_map(|name| Some((name.clone(), self.obstacle(name, &held)?)))
+                .filter_map(|name| Some((name.clone(), self.hold_reason(name, &held)?)))
                 .collect();
-            if more.is_empty() {
+            if newly_held.is_empty() {
                 break;
             }
-            held.extend(more);
+            held.extend(newly_held);
         }
-        let free: Vec<&Name> = open.iter().filter(|it| !held.contains_key(*it)).collect();
-        for name in free {
-            self.enforce(name);
+        let usable: Vec<&Name> = candidates
+            .iter()
+            .filter(|it| !held.contains_key(*it))
+            .collect();
+        for name in usable {
+            self.put_in_force(name);
         }
-        self.report(held);
+        self.record_held(held);
     }
 
-    /// Why the accepted version of `name` cannot be in force while the services in `held` stay behind.
-    fn obstacle(&self, name: &Name, held: &BTreeMap<Name, String>) -> Option<String> {
+    /// Returns why the accepted version of `name` cannot be in force while the services in `held` are held.
+    fn hold_reason(&self, name: &Name, held: &BTreeMap<Name, String>) -> Option<String> {
         let Some(latest) = self.latest.get(name) else {
-            return self.obstacle_to_removal(name, held);
+            return self.removal_hold_reason(name, held);
         };
         let document = match &latest.document {
             Ok(document) => document,
             Err(why) => return Some(why.to_string()),
         };
         let mut uses = document.uses().into_iter();
-        let lacking = uses.find(|it| match (self.latest.get(*it), held.contains_key(*it)) {
+        let missing = uses.find(|it| match (self.latest.get(*it), held.contains_key(*it)) {
             (None, _) => true,
             (Some(_), false) => false,
-            // A version written before the held one never needed it.
+            // A version from before the held one does not depend on it.
             (Some(target), true) => {
                 target.revision <= latest.revision || !self.services.contains_key(*it)
             }
         })?;
         Some(format!(
-            "it routes to {lacking}, of which this node lacks the accepted version"
+            "it routes to {missing}, of which this node lacks the accepted version"
         ))
     }
 
-    fn obstacle_to_removal(&self, name: &Name, held: &BTreeMap<Name, String>) -> Option<String> {
+    /// Returns why the deleted service `name` must stay in force.
+    fn removal_hold_reason(&self, name: &Name, held: &BTreeMap<Name, String>) -> Option<String> {
         self.services.get(name)?;
         let user = held.keys().find(|it| {
             let service = self.services.get(*it);
             *it != name && service.is_some_and(|it| it.document.uses().contains(name))
         })?;
         Some(format!(
-            "deleted, but {user} of this node still routes to it"
+            "it was deleted, but {user} as in force on this node routes to it"
         ))
     }
 
-    fn enforce(&mut self, name: &Name) {
+    fn put_in_force(&mut self, name: &Name) {
         self.held.remove(name);
         let Some(latest) = self.latest.get(name) else {
             self.services.remove(name);
@@ -115,7 +117,7 @@
         }
     }
 
-    fn report(&mut self, held: BTreeMap<Name, String>) {
+    fn record_held(&mut self, held: BTreeMap<Name, String>) {
         for (service, why) in held {
             let revision = self
                 .latest
--- a/crates/kernel/src/log/recovery.rs
+++ b/crates/kernel/src/log/recovery.rs
@@ -1,4 +1,4 @@
-//! Catching up with the log in the platform's table.
+//! Recovers the log from the platform's table.
 
 use std::sync::Arc;
 
@@ -15,27 +15,26 @@
     utils::backoff,
 };
 
-/// Reads the newest snapshot, where it is far ahead, and the log after it.
+/// Reads the newest snapshot if it is far ahead, and the log after it. Ends with [`Notice::Applied`].
 ///
-/// It may be started at any time: batches that arrive from elsewhere meanwhile are skipped when it comes to
-/// them. It ends with [`Notice::Applied`].
+/// May be started at any time; batches that arrive from elsewhere in the meantime are skipped.
 #[derive(Debug, Default)]
 pub struct Recovery {
     stage: Stage,
     failures: u32,
-    began: Ms,
+    started_at: Ms,
 }
 
-/// How far a [`Recovery`] came.
+/// Progress of a [`Recovery`] after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The event did not concern it.
+    /// The event did not belong to the recovery.
     Same,
-    /// It goes on.
+    /// The recovery continues.
     Busy,
-    /// The log is as far as the table's was when it was read.
+    /// The log contains all entries that the table held when it was read.
     Done,
-    /// The platform gave no usable answer; nothing is in progress any more.
+    /// The platform gave no usable answer; the recovery ended.
     Failed,
 }
 
@@ -49,71 +48,76 @@
     Tail(CallId),
 }
 
-/// Rows of the log read at once: with a snapshot every 32 entries, one reading mostly brings the rest.
-pub const PAGE: u32 = 40;
+/// Number of rows of the log that are read at once; mostly enough for all entries after a snapshot.
+pub const PAGE_ROWS: u32 = 40;
 
-/// Longest time that a starting node leaves to its peers before it asks the table, in ms.
-///
-/// 2,800 nodes that start at once and read the table twice each are 1,400 reads a second, within its 2,000.
+/// Maximum random delay of a starting node's first read, in ms. Peers may deliver the log before that, and the reads
+/// of a whole fleet stay below the table's rate limit.
 pub const START_JITTER: u64 = 4_000;
 
-/// Attempts of a starting node before it leaves recovery to its peers.
+/// Number of failed attempts after which a starting node leaves recovery to its peers.
 pub const ATTEMPTS_MAX: u32 = 8;
 
+/// Initial and maximum back-off after a failure, in ms.
 const BACKOFF: u64 = 500;
 const BACKOFF_MAX: u64 = 15_000;
 
 impl Recovery {
-    /// Begins with the snapshot, unless it is under way already.
+    /// Starts with the snapshot, unless a recovery is in progress.
     pub fn start(&mut self, cx: &mut Context<'_>) {
         if self.is_idle() {
-            self.began = cx.now;
+            self.started_at = cx.now;
             let keys = vec![SNAPSHOT_KEY.to_owned()];
             self.stage = Stage::Row(cx.table(TableOp::Get { keys }));
         }
     }
 
-    /// Begins with the log's tail, unless it is under way already. For a node that can lag only a little.
+    /// Starts with the log after this node's position, unless a recovery is in progress. For short lags.
     pub fn follow(&mut self, cx: &mut Context<'_>, log: &Log) {
         if self.is_idle() {
-            self.began = cx.now;
+            self.started_at = cx.now;
             self.read_tail(cx, log);
         }
     }
 
-    /// Whether nothing is in progress.
+    /// Returns whether no recovery is in progress.
     pub fn is_idle(&self) -> bool {
         matches!(self.stage, Stage::Idle | Stage::Waiting(_))
     }
 
-    /// When the last one began.
-    pub fn began(&self) -> Ms {
-        self.began
+    /// Returns when the last recovery started.
+    pub fn started_at(&self) -> Ms {
+        self.started_at
     }
 
-    /// Takes the platform's answers to its own questions.
-    pub fn answer(&mut self, cx: &mut Context<'_>, log: &mut Log, event: &Event) -> Progress {
+    /// Handles the platform's answers to the recovery's own operations.
+    pub fn handle_answer(
+        &mut self,
+        cx: &mut Context<'_>,
+        log: &mut Log,
+        event: &Event,
+    ) -> Progress {
         match (&self.stage, event) {
             (Stage::Row(own), Event::Table { call, answer }) if own == call => {
-                self.row(cx, log, answer)
+                self.handle_snapshot_row(cx, log, answer)
             }
             (Stage::Object(own), Event::Object { call, answer }) if own == call => {
-                self.object(cx, log, answer)
+                self.handle_snapshot(cx, log, answer)
             }
             (Stage::Tail(own), Event::Table { call, answer }) if own == call => {
-                self.tail(cx, log, answer)
+                self.handle_tail(cx, log, answer)
             }
             _ => Progress::Same,
         }
     }
 
-    /// Recovers by itself from the start of the process on, with jitter and capped retries.
-    pub(super) fn drive(&mut self, cx: &mut Context<'_>, log: &mut Log, event: &Event) {
+    /// Recovers the log after the start of the process, with jitter and a limited number of retries.
+    pub(super) fn handle_event(&mut self, cx: &mut Context<'_>, log: &mut Log, event: &Event) {
         match (event, &self.stage) {
             (Event::Start, _) if cx.settings.peers.is_empty() => self.start(cx),
-            (Event::Start, _) => self.wait(cx, START_JITTER),
-            (Event::Tick, Stage::Waiting(due)) if *due <= cx.now => self.wake(cx, log),
-            _ => match self.answer(cx, log, event) {
+            (Event::Start, _) => self.schedule(cx, START_JITTER),
+            (Event::Tick, Stage::Waiting(due)) if *due <= cx.now => self.resume(cx, log),
+            _ => match self.handle_answer(cx, log, event) {
                 Progress::Done => self.failures = 0,
                 Progress::Failed => self.retry(cx),
                 Progress::Same | Progress::Busy => {}
@@ -121,16 +125,16 @@
         }
     }
 
-    fn wake(&mut self, cx: &mut Context<'_>, log: &Log) {
+    fn resume(&mut self, cx: &mut Context<'_>, log: &Log) {
         self.stage = Stage::Idle;
-        // Where peers were first, repair among them brings the rest without the table.
+        // If peers have delivered a part, anti-entropy with them delivers the rest without the table.
         if log.seq().0 == 0 || self.failures > 0 {
             self.start(cx);
         }
     }
 
-    fn wait(&mut self, cx: &mut Context<'_>, most: u64) {
-        self.stage = Stage::Waiting(cx.now + cx.rng.random_range(0..=most));
+    fn schedule(&mut self, cx: &mut Context<'_>, max_wait: u64) {
+        self.stage = Stage::Waiting(cx.now + cx.rng.random_range(0..=max_wait));
     }
 
     fn retry(&mut self, cx: &mut Context<'_>) {
@@ -145,12 +149,17 @@
         cx.log("recovery-left-to-peers", vec![("attempts", attempts)]);
     }
 
-    fn row(&mut self, cx: &mut Context<'_>, log: &Log, answer: &TableAnswer) -> Progress {
+    fn handle_snapshot_row(
+        &mut self,
+        cx: &mut Context<'_>,
+        log: &Log,
+        answer: &TableAnswer,
+    ) -> Progress {
         let TableAnswer::Rows(found) = answer else {
             return self.fail();
         };
         match found.first().map(rows::read_snapshot) {
-            Some(Ok(row)) if row.seq.0 > log.seq().0 + u64::from(PAGE) => {
+            Some(Ok(row)) if row.seq.0 > log.seq().0 + u64::from(PAGE_ROWS) => {
                 let name = row.object;
                 self.stage = Stage::Object(cx.object(ObjectOp::Get { name }));
                 Progress::Busy
@@ -163,10 +172,15 @@
         }
     }
 
-    fn object(&mut self, cx: &mut Context<'_>, log: &mut Log, answer: &ObjectAnswer) -> Progress {
+    fn handle_snapshot(
+        &mut self,
+        cx: &mut Context<'_>,
+        log: &mut Log,
+        answer: &ObjectAnswer,
+    ) -> Progress {
         let bytes = match answer {
             ObjectAnswer::Bytes(bytes) => bytes,
-            // A newer snapshot took its place meanwhile, or its writer died: the log itself is whole.
+            // A newer snapshot replaced it, or its writer died; the log itself is complete.
             ObjectAnswer::Absent => return self.read_tail(cx, log),
             ObjectAnswer::Done | ObjectAnswer::Failed(_) => return self.fail(),
         };
@@ -174,7 +188,7 @@
             Ok(snapshot) => {
                 log.install(&snapshot);
             }
-            // The log itself is whole, only longer to read.
+            // The log itself is complete but takes longer to read.
             Err(error) => cx.log("snapshot-skipped", vec![("why", error.to_string())]),
         }
         self.read_tail(cx, log)
@@ -184,23 +198,28 @@
         let call = cx.table(TableOp::Scan {
             prefix: LOG_PREFIX.to_owned(),
             after: log_key(log.seq()),
-            limit: PAGE,
+            limit: PAGE_ROWS,
         });
         self.stage = Stage::Tail(call);
         Progress::Busy
     }
 
-    fn tail(&mut self, cx: &mut Context<'_>, log: &mut Log, answer: &TableAnswer) -> Progress {
+    fn handle_tail(
+        &mut self,
+        cx: &mut Context<'_>,
+        log: &mut Log,
+        answer: &TableAnswer,
+    ) -> Progress {
         let TableAnswer::Rows(found) = answer else {
             return self.fail();
         };
         for row in found {
-            if let Err(why) = apply(log, row) {
+            if let Err(why) = apply_row(log, row) {
                 cx.log("log-row-refused", vec![("why", why)]);
                 return self.fail();
             }
         }
-        if found.len() >= PAGE as usize {
+        if found.len() >= PAGE_ROWS as usize {
             return self.read_tail(cx, log);
         }
         self.stage = Stage::Idle;
@@ -214,13 +233,13 @@
     }
 }
 
-fn apply(log: &mut Log, row: &Row) -> Result<(), String> {
+fn apply_row(log: &mut Log, row: &Row) -> Result<(), String> {
     let entry = rows::read_entry(row).map_err(|it| it.to_string())?;
     let seq = entry.batch.seq;
     match log.apply(Arc::new(entry.batch)) {
         Applied::Yes | Applied::Old => Ok(()),
         Applied::Gap => Err(format!(
-            "entries are missing between {} and {seq}; restore the table's log",
+            "log entries between {} and {seq} are missing; restore the table's log",
             log.seq()
         )),
     }
--- a/crates/kernel/src/log/snapshot.rs
+++ b/crates/kernel/src/log/snapshot.rs
@@ -1,4 +1,4 @@
-//! The whole configuration as one value, for nodes that start or lag far behind.
+//! Snapshots of the whole configuration, for nodes that start or lag far behind.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -12,11 +12,11 @@
 /// The accepted configuration at one position of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The position.
+    /// Position in the log.
     pub seq: Seq,
-    /// [`Log::digest`] there.
+    /// [`Log::digest`] at the position.
     pub digest: u64,
-    /// Every service.
+    /// All services.
     pub services: Vec<SnapshotService>,
     /// The submissions of recent batches, oldest first.
     pub ids: Vec<(Seq, Vec<SubmitId>)>,
@@ -25,40 +25,40 @@
 /// One service in a [`Snapshot`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotService {
-    /// The service.
+    /// Name of the service.
     pub name: Name,
-    /// Its newest revision.
+    /// The accepted revision.
     pub revision: Revision,
-    /// Its document.
+    /// Text of the document.
     pub text: Arc<str>,
     /// Who submitted it.
     pub author: Arc<str>,
 }
 
-/// The bytes are not a whole snapshot.
+/// The bytes are not a valid snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadSnapshot {
-    /// See `SNAPSHOT_MAX`.
+    /// The snapshot is larger than [`SNAPSHOT_MAX`].
     #[error("the snapshot has {0} bytes, more than {SNAPSHOT_MAX}; fetch it from another node")]
     Oversized(usize),
-    /// They do not decode.
+    /// The bytes do not decode.
     #[error("the snapshot is damaged; fetch it again or from another node")]
     Malformed,
-    /// They decode to a configuration that its digest does not stand for.
+    /// The decoded configuration does not match its digest.
     #[error("the snapshot does not match its digest; fetch it again or from another node")]
     Digest,
 }
 
-/// Most bytes of an encoded snapshot.
+/// Maximum size of an encoded snapshot, in bytes.
 pub const SNAPSHOT_MAX: usize = 16 << 20;
 
 impl Snapshot {
-    /// As bytes.
+    /// Encodes the snapshot.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("a snapshot encodes")
     }
 
-    /// Reads [`Snapshot::encode`]'s bytes and checks them against the digest.
+    /// Decodes the bytes of [`Snapshot::encode`] and checks them against the digest.
     pub fn decode(bytes: &[u8]) -> Result<Snapshot, BadSnapshot> {
         if bytes.len() > SNAPSHOT_MAX {
             return Err(BadSnapshot::Oversized(bytes.len()));
--- a/crates/kernel/src/platform.rs
+++ b/crates/kernel/src/platform.rs
@@ -1,9 +1,9 @@
-//! What the kernel asks of the platform's table and object store, and what it may answer.
+//! Operations of the platform's table and object store, and their answers.
 
 use serde::{Deserialize, Serialize};
 
-/// Which copy of itself the platform's store serves: it rises each time that an older copy takes the place of the present
-/// one. Versions of rows are then given out again, so those of two eras say nothing of each other.
+/// Generation of the platform's store. Increases each time that the store is restored from an older copy. Versions of
+/// rows are then issued again, so versions of different eras cannot be compared.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,10 +15,10 @@
     }
 }
 
-/// One row of the table. Versions start at 1 and grow with each write of the key.
+/// One row of the table. Versions start at 1 and increase with each write of the key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Key, ordered bytewise.
+    /// Key; rows are ordered by its bytes.
     pub key: String,
     /// Version of this value; [`ABSENT`] never appears in a row.
     pub version: u64,
@@ -26,19 +26,19 @@
     pub value: Vec<u8>,
 }
 
-/// The version of a key that has no row.
+/// Version of a key that has no row.
 pub const ABSENT: u64 = 0;
 
-/// Most checks plus writes that one [`TableOp::Commit`] may hold.
+/// Maximum number of checks and writes in one [`TableOp::Commit`].
 pub const COMMIT_MAX: usize = 100;
 
-/// Most bytes of one value in the table; larger ones belong in the object store.
+/// Maximum size of a value in the table, in bytes; larger ones belong in the object store.
 pub const VALUE_MAX: usize = 256 * 1024;
 
-/// An operation on the table. Each is atomic.
+/// An atomic operation on the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TableOp {
-    /// Reads the rows of `keys`; absent ones are left out of the answer.
+    /// Reads the rows of `keys`; the answer omits absent ones.
     Get { keys: Vec<String> },
     /// Reads up to `limit` rows whose keys start with `prefix` and sort after `after`, in order.
     Scan {
@@ -46,14 +46,14 @@
         after: String,
         limit: u32,
     },
-    /// Carries out every write if every check holds, and otherwise none.
+    /// Executes all writes if all checks hold, and otherwise none.
     Commit {
         checks: Vec<Check>,
         writes: Vec<Write>,
     },
 }
 
-/// Holds if `key` is at `version`; [`ABSENT`] asks that it has no row.
+/// A condition of a commit: `key` is at `version`, or has no row for [`ABSENT`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Check {
     pub key: String,
@@ -65,7 +65,7 @@
 pub enum Write {
     /// Stores `value` under `key`.
     Put { key: String, value: Vec<u8> },
-    /// Removes the row of `key`; the next version of the key is still higher than its last.
+    /// Removes the row of `key`. Versions of the key continue to increase if it is written again.
     Delete { key: String },
 }
 
@@ -74,18 +74,18 @@
 pub enum TableAnswer {
     /// The rows read.
     Rows(Vec<Row>),
-    /// Every write took effect.
+    /// All writes took effect.
     Committed,
-    /// Nothing was written: these checks failed. Holds the present rows of the failed keys.
+    /// Checks failed and nothing was written. Contains the current rows of the failed keys.
     Conflict(Vec<Row>),
-    /// See [`Fault`].
+    /// The operation failed.
     Failed(Fault),
 }
 
-/// An operation on the object store. Objects are immutable by convention: a name is written once.
+/// An operation on the object store. Objects are immutable by convention: each name is written once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ObjectOp {
-    /// Stores `bytes` under `name`, replacing what was there.
+    /// Stores `bytes` under `name`, replacing an existing object.
     Put { name: String, bytes: Vec<u8> },
     /// Reads `name`.
     Get { name: String },
@@ -98,18 +98,18 @@
 pub enum ObjectAnswer {
     /// The put or delete took effect.
     Done,
-    /// The object's bytes.
+    /// Contents of the object.
     Bytes(Vec<u8>),
     /// No object has that name.
     Absent,
-    /// See [`Fault`].
+    /// The operation failed.
     Failed(Fault),
 }
 
-/// Why the platform gave no answer.
+/// Why an operation failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Fault {
-    /// The operation had no effect; it may be tried again.
+    /// The operation had no effect and may be retried.
     #[error("the platform is unavailable; try again later")]
     Unavailable,
     /// The rate limit was reached and the operation had no effect.
@@ -118,7 +118,7 @@
     /// The answer was lost: a write may or may not have taken effect.
     #[error("the platform's answer was lost; read back before trying again")]
     Unknown,
-    /// The operation itself is malformed and will never succeed.
+    /// The operation is not valid and will never succeed.
     #[error("the platform refused the operation: {0}")]
     Invalid(String),
 }
--- a/crates/kernel/src/restore.rs
+++ b/crates/kernel/src/restore.rs
@@ -1,8 +1,7 @@
-//! Restores: the platform's store was put back to an older copy of itself.
+//! Detects that the platform's store was restored from an older copy of itself.
 //!
-//! What was written there since that copy was made is gone, though it was acknowledged, and versions are given out
-//! again. The store tells by its [`Era`]. A node that asks it seldom, or is turned away, would go on believing in what is
-//! no longer there, so whoever notices tells a few others, and they tell a few more.
+//! Acknowledged writes since that copy are lost, and versions are issued again. The store reports this by its [`Era`].
+//! A node that notices a new era gossips it, so that nodes with few or failing calls to the store learn of it too.
 
 use rand::seq::IteratorRandom;
 use serde::{Deserialize, Serialize};
@@ -16,18 +15,18 @@
 
 inventory::submit! { Plugin { name: "restore", order: 5, scope: Scope::Any, handle } }
 
-/// Nodes that each one tells: with three, about nineteen of twenty hear of it within a few round trips, and the others by
-/// their next call to the store.
-const TOLD: usize = 3;
+/// Number of nodes that each node notifies. Three reach most of the fleet; the others learn of it with their next call
+/// to the store.
+const FANOUT: usize = 3;
 
-/// What nodes tell one another of restores.
+/// Notifies a node of a restore.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// The newest era that the sender knows.
     pub era: Era,
 }
 
-/// What this node knows of the store's era.
+/// State of the plug-in.
 #[derive(Debug, Default)]
 pub struct Restore {
     era: Option<Era>,
@@ -35,12 +34,12 @@
 }
 
 impl Restore {
-    /// The newest era, if one was heard of.
+    /// Returns the newest known era, if any.
     pub fn era(&self) -> Option<Era> {
         self.era
     }
 
-    /// How often the store was put back, as far as this process knows.
+    /// Returns the number of restores that this process has noticed.
     pub fn restores(&self) -> u64 {
         self.restores
     }
@@ -48,18 +47,18 @@
 
 fn handle(cx: &mut Context<'_>, state: &mut State, event: &Event) {
     match event {
-        Event::Era(era) => learn(cx, state, *era),
+        Event::Era(era) => update_era(cx, state, *era),
         Event::Message {
             message: event::Message::Restore(message),
             ..
-        } => learn(cx, state, message.era),
+        } => update_era(cx, state, message.era),
         _ => {}
     }
 }
 
-fn learn(cx: &mut Context<'_>, state: &mut State, era: Era) {
+fn update_era(cx: &mut Context<'_>, state: &mut State, era: Era) {
     let Some(before) = state.restore.era else {
-        // The first that this process hears of is no restore: it believes in nothing older.
+        // The first era of a process is not a restore, because the process holds no older data.
         state.restore.era = Some(era);
         return;
     };
@@ -76,11 +75,11 @@
         .ready()
         .map(|it| it.id)
         .filter(|it| *it != own);
-    let told: Vec<NodeId> = peers.choose_multiple(cx.rng, TOLD);
-    for to in told {
+    let targets: Vec<NodeId> = peers.choose_multiple(cx.rng, FANOUT);
+    for to in targets {
         cx.send(to, event::Message::Restore(Message { era }));
     }
     cx.raise(Notice::Restored);
-    // Whoever watches the source for this node reads the era from its view.
+    // Watchers that read the source for this node take the era from its view.
     cx.raise(Notice::Own);
 }
--- a/crates/kernel/tests/document.rs
+++ b/crates/kernel/tests/document.rs
@@ -1,4 +1,4 @@
-//! Documents: each file under `data/documents` says in its leading comments what the check must find.
+//! Parsing of documents. Each file under `data/documents` lists its expected faults in leading comments.
 
 use std::{
     collections::BTreeSet,
@@ -41,7 +41,7 @@
     text.parse().expect("a name")
 }
 
-/// The faults as `line:column message`.
+/// Returns the faults as `line:column message`.
 fn faults(text: &str) -> Vec<String> {
     match Document::parse(text) {
         Ok(_) => Vec::new(),
@@ -53,38 +53,45 @@
     }
 }
 
+// Guards against missing, wrong or additional faults.
 #[test]
-fn each_file_has_exactly_the_faults_that_it_states() {
+fn files_have_exactly_the_expected_faults() {
     let wrong: Vec<String> = files("tests/data/documents")
         .iter()
-        .filter_map(|it| differs(it))
+        .filter_map(|it| fault_mismatch(it))
         .collect();
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
 
-/// How what is found in the file differs from what it states, if it does.
-fn differs(path: &Path) -> Option<String> {
+/// Describes how the faults of a file differ from the expected ones, if they do.
+fn fault_mismatch(path: &Path) -> Option<String> {
     let text = read(path);
-    let stated: Vec<&str> = text
+    let expected: Vec<&str> = text
         .lines()
         .map_while(|it| it.strip_prefix(EXPECT))
         .collect();
     let found = faults(&text);
-    let agree = match stated[..] {
+    let matches = match expected[..] {
         [] => false,
         ["ok"] => found.is_empty(),
         _ => {
-            found.len() == stated.len()
+            found.len() == expected.len()
                 && found
                     .iter()
-                    .zip(&stated)
+                    .zip(&expected)
                     .all(|(lhs, rhs)| lhs.starts_with(rhs))
         }
     };
-    let (stated, found) = (stated.join("\n  "), found.join("\n  "));
-    (!agree).then(|| format!("{}\n stated\n  {stated}\n found\n  {found}", path.display()))
+    let (expected, found) = (expected.join("\n  "), found.join("\n  "));
+    (!matches).then(|| {
+        format!(
+            "{}\n expected\n  {expected}\n found\n  {found}",
+            path.display()
+        )
+    })
 }
 
+// Guards against examples that are not valid or have references that do not resolve.
 #[test]
 fn examples_are_valid_and_use_only_each_other() {
     for folder in ["../../examples/nile", "../../examples/cascadia"] {
@@ -103,6 +110,7 @@
     }
 }
 
+// Guards against a wrong choice among routes.
 #[test_case("GET", "/drafts/7", Class::Interactive, Repeat::Idempotent, 800)]
 #[test_case("PUT", "/drafts/7", Class::Interactive, Repeat::Idempotent, 1_500)]
 #[test_case("POST", "/filings", Class::Exact, Repeat::Never, 5_000)]
@@ -113,7 +121,7 @@
     Repeat::Idempotent,
     60_000
 )]
-fn example_carries(method: &str, path: &str, class: Class, repeat: Repeat, deadline: u64) {
+fn example_route_matches(method: &str, path: &str, class: Class, repeat: Repeat, deadline: u64) {
     let text = read(&root("../../examples/nile/drafting-desk.toml"));
     let document = Document::parse(&text).expect("a valid example");
     let route = document.route(method, path).expect("a route");
@@ -123,15 +131,17 @@
     );
 }
 
+// Guards against a route for requests that none of them covers.
 #[test_case("DELETE", "/drafts/7"; "method without a route")]
 #[test_case("GET", "/draftsmen"; "part of a segment")]
 #[test_case("GET", "/"; "shorter path")]
-fn example_carries_nothing_else(method: &str, path: &str) {
+fn example_has_no_other_routes(method: &str, path: &str) {
     let text = read(&root("../../examples/nile/drafting-desk.toml"));
     let document = Document::parse(&text).expect("a valid example");
     assert_eq!(document.route(method, path), None);
 }
 
+// Guards against changed defaults.
 #[test]
 fn absent_keys_have_their_defaults() {
     let text = format!(
@@ -159,6 +169,7 @@
     assert_eq!(routes, expected);
 }
 
+// Guards against an unresolved reference that is missed or reported at the wrong place.
 #[test]
 fn dangling_references_are_found_at_their_place() {
     let text = format!(
@@ -172,31 +183,38 @@
     );
 }
 
-/// A document with `count` routes, each followed by `line`.
-fn many(count: usize, line: &str) -> String {
+/// Returns a document with `count` routes, each followed by `line`.
+fn document_with_routes(count: usize, line: &str) -> String {
     let routes =
         (0..count).map(|it| format!("[[routes]]\npath = \"/{it}\"\nmethods = [\"GET\"]\n{line}\n"));
     format!("{HEAD}{}", routes.collect::<String>())
 }
 
+// Guards against changed or missing bounds.
 #[test]
 fn sizes_are_bounded() {
-    assert_eq!(faults(&many(ROUTES_MAX, "")), Vec::<String>::new());
-    let found = faults(&many(ROUTES_MAX + 1, ""));
+    assert_eq!(
+        faults(&document_with_routes(ROUTES_MAX, "")),
+        Vec::<String>::new()
+    );
+    let found = faults(&document_with_routes(ROUTES_MAX + 1, ""));
     assert_eq!(
         found,
         ["1028:1 the document has 257 routes; split the service or merge paths, at most 256"]
     );
 
-    let padding = "#".repeat(DOCUMENT_MAX - many(1, "").len());
-    assert_eq!(faults(&many(1, &padding)), Vec::<String>::new());
-    let found = faults(&many(1, &format!("{padding}#")));
+    let padding = "#".repeat(DOCUMENT_MAX - document_with_routes(1, "").len());
+    assert_eq!(
+        faults(&document_with_routes(1, &padding)),
+        Vec::<String>::new()
+    );
+    let found = faults(&document_with_routes(1, &format!("{padding}#")));
     assert_eq!(
         found,
         ["1:1 the document has 49153 bytes; shorten it to at most 49152"]
     );
 
-    let owner = many(1, "").replace("drafting team", &"x".repeat(OWNER_MAX + 1));
+    let owner = document_with_routes(1, "").replace("drafting team", &"x".repeat(OWNER_MAX + 1));
     assert_eq!(
         faults(&owner),
         ["3:9 \"owner\" is not valid; use 1 to 128 characters without control characters"]
@@ -205,23 +223,26 @@
     let methods: Vec<String> = (b'A'..=b'Q')
         .map(|it| format!("\"{}\"", it as char))
         .collect();
-    let text = many(1, "").replace("\"GET\"", &methods.join(","));
+    let text = document_with_routes(1, "").replace("\"GET\"", &methods.join(","));
     assert!(faults(&text)[0].ends_with("the route has 17 methods; name at most 16"));
 
     let used: Vec<String> = (0..=USES_MAX).map(|it| format!("\"s{it}\"")).collect();
-    let found = faults(&many(1, &format!("uses = [{}]", used.join(","))));
+    let found = faults(&document_with_routes(
+        1,
+        &format!("uses = [{}]", used.join(",")),
+    ));
     assert!(found[0].ends_with("the route uses 65 services; at most 64, split the route"));
 }
 
+// Guards against errors of unbounded length.
 #[test]
 fn long_lists_of_faults_end_with_their_number() {
-    let found = faults(&many(FAULTS_MAX + 7, "deadline = \"1\""));
+    let found = faults(&document_with_routes(FAULTS_MAX + 7, "deadline = \"1\""));
     assert_eq!(found.len(), FAULTS_MAX + 1);
-    assert!(found[FAULTS_MAX].ends_with("and 7 more faults; mend those above first"));
+    assert!(found[FAULTS_MAX].ends_with("and 7 more faults; fix those above first"));
 }
 
-/// What the operator sees: one error line, whatever the text holds. A message that repeated a hostile value
-/// whole would fill logs and terminals, and a nesting without bound would end the process.
+// Guards against error messages that repeat long values, and against a stack overflow by deep nesting.
 #[test_case(&format!("{HEAD}x = {}", "[".repeat(30_000)); "deep nesting")]
 #[test_case(&format!("{HEAD}{} = 1", "k".repeat(60_000)); "long key")]
 #[test_case(&format!("{HEAD}class = \"{}\"", "v".repeat(60_000)); "long value")]
@@ -233,12 +254,13 @@
 }
 
 proptest! {
+    // Guards against panics.
     #[test]
     fn any_text_is_read_without_panic(text in "\\PC{0,400}") {
         let _ = Document::parse(&text);
     }
 
-    /// Cuts and doubles a valid document at random: faults always point into the text.
+    // Guards against places outside the text, in a valid document with random edits.
     #[test]
     fn faults_point_into_the_text(start in 0_usize..1_800, len in 0_usize..40, fill in "[a-z\"\\[\\]=\n]{0,6}") {
         let mut text = read(&root("../../examples/nile/drafting-desk.toml"));
--- a/crates/kernel/tests/log.rs
+++ b/crates/kernel/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log on one node: versions that it must refuse, snapshots, and recovery.
+//! The log on one node: held versions, snapshots, net differences and recovery.
 
 #[path = "common/driver.rs"]
 mod driver;
@@ -19,7 +19,7 @@
 
 use driver::{Driver, Mishap, delete, name, put};
 
-/// A document that this build cannot read.
+/// A document with a schema that this build does not support.
 const NEWER: &str = "schema = 2\nservice = \"b\"\nshape = { kind = \"mesh\" }\n";
 
 fn batch(seq: u64, submissions: &[Submission]) -> Arc<Batch> {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The services in force with their revisions, after checking that they resolve.
+/// Returns the services in force with their revisions, after a check that their routes resolve.
 fn in_force(log: &Log) -> String {
     let services = log.services();
     for (name, service) in services {
@@ -61,9 +61,8 @@
     shown.collect::<Vec<_>>().join(" ")
 }
 
-// Callers of this node see whole, resolving versions only. A batch holds a version that the node's build
-// cannot read; the old one stays in force, with those of every service whose new version was written for it.
-// The rest of the batch is applied, and a later readable version brings all of them up.
+// Guards against routes that do not resolve if a batch contains a version that this build cannot read. Versions that
+// depend on it must be held too, the others applied, and all put in force after a readable version.
 #[test_case(&[newer(3)], "a1 b1 c1"; "old version stays")]
 #[test_case(&[newer(3), put(4, "a", 1, &["b"])], "a1 b1 c1"; "its user's new version waits")]
 #[test_case(&[newer(3), put(4, "a", 1, &["b"]), put(5, "d", 0, &["a"])], "a1 b1 c1"; "so does a user of that")]
@@ -71,7 +70,7 @@
 #[test_case(&[newer(3), put(4, "a", 1, &["b"]), delete(5, "c", 1)], "a1 b1 c1"; "a deletion waits for a held user")]
 #[test_case(&[newer(3), put(4, "a", 1, &[])], "a2 b1 c1"; "a user that no longer needs it")]
 #[test_case(&[delete(3, "c", 1), put(4, "a", 1, &["b"])], "a2 b1"; "nothing refused")]
-fn a_refused_version_holds_what_needs_it(second: &[Submission], expected: &str) {
+fn unreadable_version_holds_dependents(second: &[Submission], expected: &str) {
     let mut log = Log::default();
     let first = [
         put(1, "a", 0, &["b", "c"]),
@@ -96,10 +95,10 @@
     assert_eq!(in_force(&log), accepted.join(" "));
 }
 
-// An upgraded committer accepts a document that an older node cannot read. The operators see the older node
-// report it once, keep serving the old versions, and catch up when a version for its build is accepted.
+// Guards against a node that stops serving, or reports repeatedly, while a document has a newer schema than it
+// supports.
 #[test]
-fn a_bad_version_from_a_newer_schema() {
+fn newer_schema_is_held_and_reported_once() {
     let mut driver = Driver::new(&["cairo"]);
     let mut session = Vec::new();
     let batches = [
@@ -118,16 +117,16 @@
         let held = std::mem::take(&mut driver.logs)
             .into_iter()
             .filter(|it| it.1 == "version-held");
-        session.extend(held.map(|it| format!("  {} {}", it.1, first_line(&it.2))));
+        session.extend(held.map(|it| format!("  {} {}", it.1, without_parser_text(&it.2))));
     }
     insta::assert_snapshot!("newer_schema", session.join("\n"));
 }
 
-/// The report up to where the parser's own words begin.
-fn first_line(report: &str) -> &str {
+/// Removes the parser's text from a report.
+fn without_parser_text(report: &str) -> &str {
     let end = report.find("why=").map_or(report.len(), |it| it);
-    let routed = report.contains("routes to");
-    if routed { report } else { &report[..end] }
+    let has_route = report.contains("routes to");
+    if has_route { report } else { &report[..end] }
 }
 
 fn write_entry(driver: &mut Driver, batch: &Batch) {
@@ -149,8 +148,9 @@
     );
 }
 
+// Guards against a snapshot that differs from its log, and against an older snapshot that moves the log back.
 #[test]
-fn a_snapshot_stands_for_the_log_and_only_moves_it_forward() {
+fn snapshot_equals_log_and_never_moves_back() {
     let mut log = Log::default();
     log.apply(batch(1, &[put(1, "a", 0, &["b"]), put(2, "b", 0, &[])]));
     let old = log.snapshot();
@@ -162,16 +162,14 @@
     assert_eq!(other.accepted(SubmitId(3)), Some(Seq(2)));
     assert_eq!(other.install(&old), Applied::Old);
     assert_eq!(other.seq(), Seq(2));
-    // It never held the version before, so it has neither the refused one nor its user.
+    // This log never had the earlier version, so neither the refused one nor its user is in force.
     assert_eq!(in_force(&other), "");
     assert_eq!(other.after(Seq(1)), None);
 }
 
-// Updates cross in flight: a batch comes a second time, one comes before those that it follows, and a net
-// difference leads to a position that this node has passed. None of them moves the node; were one applied,
-// its callers would be sent by an older document again, or by a configuration with holes.
+// Guards against an older or incomplete configuration after updates that arrive twice, too early or too late.
 #[test]
-fn what_comes_out_of_order_changes_nothing() {
+fn out_of_order_updates_change_nothing() {
     let mut log = Log::default();
     log.apply(batch(1, &[put(1, "a", 0, &[])]));
     log.apply(batch(2, &[put(2, "a", 1, &[]), put(3, "b", 0, &[])]));
@@ -196,10 +194,10 @@
     assert_eq!(in_force(&log), "a2 b2");
 }
 
-// A peer's difference was made for a text that this node does not hold: it would lead to a configuration that
-// nobody accepted. Its digest tells, and not one of its changes is taken.
+// Guards against a configuration that was never accepted: a net difference whose digest does not match must not be
+// applied, not even in part.
 #[test]
-fn a_difference_that_misses_its_digest_is_refused_whole() {
+fn difference_with_wrong_digest_is_refused() {
     let mut log = Log::default();
     log.apply(batch(1, &[put(1, "a", 0, &[]), put(2, "b", 0, &[])]));
     let held = log.snapshot();
@@ -218,12 +216,13 @@
     assert_eq!(in_force(&log), "a1 b1");
 }
 
+// Guards against the use of a truncated, altered or oversized snapshot.
 #[test_case(|it| it.truncate(it.len() - 1), BadSnapshot::Malformed; "cut off")]
 #[test_case(|it| it.push(0), BadSnapshot::Malformed; "too long")]
 #[test_case(|it| { let at = it.len() / 2; it[at] ^= 1 }, BadSnapshot::Digest; "a bit of the text")]
 #[test_case(|it| *it = vec![0xff; 64], BadSnapshot::Malformed; "noise")]
 #[test_case(|it| *it = vec![0; (16 << 20) + 1], BadSnapshot::Oversized((16 << 20) + 1); "oversized")]
-fn a_damaged_snapshot_is_refused(damage: fn(&mut Vec<u8>), expected: BadSnapshot) {
+fn damaged_snapshot_is_refused(damage: fn(&mut Vec<u8>), expected: BadSnapshot) {
     let mut log = Log::default();
     log.apply(batch(1, &[put(1, "a", 0, &[])]));
     let mut bytes = log.snapshot().encode();
@@ -231,8 +230,9 @@
     assert_eq!(Snapshot::decode(&bytes), Err(expected));
 }
 
+// Guards against unbounded memory for the ids of submissions.
 #[test]
-fn ids_of_submissions_are_bounded() {
+fn submission_ids_are_bounded() {
     let mut log = Log::default();
     for seq in 1..=IDS_MAX as u64 + 5 {
         log.apply(batch(seq, &[put(u128::from(seq), "a", seq - 1, &[])]));
@@ -241,14 +241,13 @@
     assert_eq!(log.accepted(SubmitId(6)), Some(Seq(6)));
 }
 
-// A node starts long after the others, alone or with its peers gone. It reads the newest snapshot and the
-// few entries after it; where the snapshot is damaged or missing it reads the whole log instead. While the
-// store is down it retries, and it never holds less than it held.
+// Guards against a starting node that cannot recover without peers if the snapshot is missing or damaged or the store
+// is down at first, and against too many reads.
 #[test_case(|_| {}; "from the snapshot")]
 #[test_case(|it| it.objects.clear(); "snapshot missing")]
 #[test_case(|it| it.objects.values_mut().for_each(|it| it.truncate(9)); "snapshot damaged")]
 #[test_case(|it| it.down = true; "store down at first")]
-fn a_starting_node_recovers(prepare: fn(&mut Driver)) {
+fn starting_node_recovers(prepare: fn(&mut Driver)) {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     for seq in 0..150 {
@@ -264,20 +263,20 @@
     prepare(&mut driver);
     driver.deaf = BTreeSet::from([0, 1]);
     let (reads, polls) = (driver.reads, driver.polls);
-    let late = driver.add("cairo");
+    let started = driver.add("cairo");
     driver.run(6_000);
     driver.down = false;
     driver.run(20_000);
-    let log = &driver.kernels[late].state().log;
+    let log = &driver.kernels[started].state().log;
     assert_eq!(log.seq(), Seq(150));
     assert_eq!(log.digest(), driver.kernels[0].state().log.digest());
     assert!(driver.reads - reads < 40, "{} reads", driver.reads - reads);
-    // Two relays for 26 s, each at most every half second.
+    // Two relays poll for 26 s, each at most every half second.
     let polls = driver.polls - polls;
     assert!(polls <= 2 * 2 * 26, "{polls} polls");
 }
 
-/// What a random session does next.
+/// One step of a random session.
 #[derive(Clone, Debug)]
 enum Step {
     Put(usize, u8, u8, bool),
@@ -309,8 +308,8 @@
     }
 }
 
-/// Plays `steps` over two committers and returns every submission with its verdicts.
-fn play(driver: &mut Driver, steps: &[Step]) -> Vec<(Submission, Vec<Verdict>)> {
+/// Runs `steps` on two committers and returns every submission with its verdicts.
+fn run_steps(driver: &mut Driver, steps: &[Step]) -> Vec<(Submission, Vec<Verdict>)> {
     let mut sent: Vec<(Submission, Vec<laburnum_kernel::Token>)> = Vec::new();
     for step in steps {
         let id = sent.len() as u128 + 1;
@@ -324,9 +323,9 @@
             latest.map_or(0, |it| it.revision.0)
         };
         match *step {
-            Step::Put(index, it, target, routed) => {
+            Step::Put(index, it, target, has_route) => {
                 let target = service(target);
-                let uses: &[&str] = if routed { &[&target] } else { &[] };
+                let uses: &[&str] = if has_route { &[&target] } else { &[] };
                 let submission = put(id, &service(it), base(driver, index, it), uses);
                 let token = driver.submit(index, &submission);
                 sent.push((submission, vec![token]));
@@ -357,11 +356,10 @@
         .collect()
 }
 
-// Operators submit, delete and send again through two committers while commits and answers are lost, late
-// or slow. What was accepted is in the log once and where the verdict said; what was refused by every
-// verdict is not in it; and no prefix of the log has a route to nothing.
+// Guards against verdicts that contradict the log, and against routes that do not resolve in any prefix of it, while
+// commits and answers at two committers are lost, late or slow.
 #[test]
-fn random_sessions_keep_the_invariants() {
+fn random_sessions_keep_invariants() {
     let config = Config {
         cases: 60,
         failure_persistence: None,
@@ -372,16 +370,16 @@
     let run = |steps: Vec<Step>| {
         let mut driver = Driver::new(&["cairo", "oregon"]);
         driver.run(3_000);
-        let sent = play(&mut driver, &steps);
+        let sent = run_steps(&mut driver, &steps);
         for (submission, verdicts) in sent {
             let id = submission.id;
             let applied = driver.applied(id);
             prop_assert!(applied <= 1, "{id} was applied {applied} times");
-            let unsure = |it: &Verdict| matches!(it, Verdict::Unknown { .. });
+            let unknown = |it: &Verdict| matches!(it, Verdict::Unknown { .. });
             let accepted = |it: &Verdict| matches!(it, Verdict::Accepted { .. });
             if verdicts.iter().any(accepted) {
                 prop_assert_eq!(applied, 1, "{} was said to be accepted", id);
-            } else if !verdicts.iter().any(unsure) {
+            } else if !verdicts.iter().any(unknown) {
                 prop_assert_eq!(applied, 0, "{} was said not to be accepted", id);
             }
         }
@@ -398,20 +396,19 @@
         .expect("the invariants hold");
 }
 
-// Unused by the random sessions, but part of what the reply may be.
+// Guards against a wrong outcome for an unknown submission id, which the random sessions do not query.
 #[test]
-fn an_outcome_never_heard_of_is_absent() {
+fn unknown_submission_id_is_absent() {
     let mut driver = Driver::new(&["cairo"]);
     let id = SubmitId(7);
     let reply = driver.ask(0, Call::Outcome { id });
     assert_eq!(reply, Reply::Verdict(Verdict::Absent { id }));
 }
 
-// Two committers write snapshots of one log, and the object store is down at first, so both try again at the
-// same entry and within one answer's time; they name that object alike. One row wins, and the loser may not
-// remove the object that it names: a node that starts afterwards finds it.
+// Guards against the deletion of a snapshot that the row names: of two committers that write the same snapshot at
+// once, the one whose row conflicts must not delete the object.
 #[test]
-fn two_committers_share_a_snapshot() {
+fn conflicting_committer_keeps_snapshot_object() {
     let mut driver = Driver::new(&["cairo", "oregon"]);
     driver.run(5_000);
     driver.delay = 300;
--- a/crates/kernel/tests/restore.rs
+++ b/crates/kernel/tests/restore.rs
@@ -1,4 +1,4 @@
-//! The platform's store was put back: who hears of it, and what is written again.
+//! Restore of the platform's store: gossip of the new era, and rows that are written again.
 
 #[path = "common/driver.rs"]
 mod driver;
@@ -37,30 +37,34 @@
     eras.collect()
 }
 
-/// Nodes that the store turns away go on believing in versions that it has given out again. One that is answered tells
-/// a few others at once, and they tell a few more; nobody tells anybody twice.
+// Guards against nodes that keep using versions of the old era because the store does not answer them, and against too
+// many messages.
 #[test]
-fn nearly_all_hear_of_a_restore_from_one() {
+fn restore_spreads_to_most_nodes() {
     let mut driver = fleet();
-    let told = Rc::new(RefCell::new(0));
-    let seen = told.clone();
+    let messages = Rc::new(RefCell::new(0));
+    let counter = messages.clone();
     driver.tap = Some(Box::new(move |_, _, _, message| {
-        *seen.borrow_mut() += usize::from(matches!(message, Message::Restore(_)));
+        *counter.borrow_mut() += usize::from(matches!(message, Message::Restore(_)));
         Fate::Arrives
     }));
     driver.event(4, Event::Era(Era(2)));
     driver.run(500);
-    let know = eras(&driver)
+    let informed = eras(&driver)
         .iter()
         .filter(|it| **it == Some(Era(2)))
         .count();
-    assert!(know >= NODES * 8 / 10, "{know} know");
-    assert!(*told.borrow() <= 3 * NODES, "{} messages", told.borrow());
+    assert!(informed >= NODES * 8 / 10, "{informed} know");
+    assert!(
+        *messages.borrow() <= 3 * NODES,
+        "{} messages",
+        messages.borrow()
+    );
 }
 
-/// An answer of the era before arrives late, after one of the newer: nobody goes back.
+// Guards against a return to an older era if its answer arrives late.
 #[test]
-fn older_era_is_never_taken_over() {
+fn older_era_is_ignored() {
     let mut driver = fleet();
     driver.event(4, Event::Era(Era(3)));
     driver.event(4, Event::Era(Era(2)));
@@ -68,9 +72,9 @@
     assert_eq!(driver.kernels[4].state().restore.restores(), 1);
 }
 
-/// A process that starts hears of an era for the first time. It has written nothing that could be lost.
+// Guards against a restore that is reported for the first era of a process.
 #[test]
-fn first_era_is_no_restore() {
+fn first_era_is_not_a_restore() {
     let driver = fleet();
     assert!(
         driver
@@ -81,9 +85,9 @@
     assert!(driver.logs.iter().all(|it| it.1 != "store-restored"));
 }
 
-/// The contact rows went with the copy. A host that starts would find nobody, so their keepers write them again.
+// Guards against starting nodes that find no contacts because a restore lost the contact rows.
 #[test]
-fn contact_rows_are_written_again() {
+fn contact_rows_are_rewritten() {
     let mut driver = fleet();
     driver
         .rows
