--- a/crates/kernel/src/accept.rs
+++ b/crates/kernel/src/accept.rs
@@ -224,7 +224,7 @@
     match state.accept.reader.handle_answer(cx, &mut state.log, event) {
         Progress::Done => handle_log_read(cx, state),
         Progress::Failed => handle_read_failure(cx, state),
-        Progress::Same | Progress::Busy => {}
+        Progress::Unrelated | Progress::Busy => {}
     }
     commit::start_due(cx, state);
 }
--- a/crates/kernel/src/accept/commit.rs
+++ b/crates/kernel/src/accept/commit.rs
@@ -30,7 +30,7 @@
     /// Start time of the next transaction.
     due: Ms,
     /// Start time of the last completed read of the table's log.
-    read: Ms,
+    last_read: Ms,
     failures: u32,
     /// Reason of the last failure.
     why: String,
@@ -199,7 +199,8 @@
     if !matches!(queue.stage, Stage::Idle) || queue.waiting.is_empty() || queue.due > cx.now {
         return;
     }
-    let needs_read = |it: &Waiting| it.prior_write != PriorWrite::None && it.since > queue.read;
+    let needs_read =
+        |it: &Waiting| it.prior_write != PriorWrite::None && it.since > queue.last_read;
     if queue.waiting.iter().any(needs_read) {
         return start_read(cx, state);
     }
@@ -281,7 +282,7 @@
     answer_accepted(cx, state);
     let held = state.log.seq();
     let queue = &mut state.accept.queue;
-    queue.read = state.accept.reader.started_at();
+    queue.last_read = state.accept.reader.started_at();
     for it in &mut queue.waiting {
         // The log holds another batch at that position, so the earlier write had no effect.
         if matches!(it.prior_write, PriorWrite::At(seq) if seq <= held) {
@@ -322,7 +323,7 @@
         let draft = decide::draft(&state.log, &waiting, cx.now);
         let decisions = queue.waiting.iter().zip(&draft.decisions);
         let needs_read = |(it, decision): (&Waiting, &Decision)| {
-            matches!(decision, Decision::Provisional(_)) && it.since > queue.read
+            matches!(decision, Decision::Provisional(_)) && it.since > queue.last_read
         };
         // Another committer may have changed what the refusal is based on; read the log first.
         if decisions.into_iter().any(needs_read) {
@@ -465,7 +466,8 @@
     if queue.failures < FAILURES_MAX {
         return;
     }
-    let needs_read = |it: &Waiting| it.prior_write == PriorWrite::None && it.since > queue.read;
+    let needs_read =
+        |it: &Waiting| it.prior_write == PriorWrite::None && it.since > queue.last_read;
     match queue.waiting.iter().any(needs_read) {
         true => start_read(cx, state),
         false => reject_unwritten(cx, &mut state.accept.queue),
--- a/crates/kernel/src/document/fault.rs
+++ b/crates/kernel/src/document/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of documents; each message says where the fault is and how to fix it.
+//! Faults of documents; each one has a place in the text and a message on how to fix it.
 
 use std::fmt;
 
--- a/crates/kernel/src/log/recovery.rs
+++ b/crates/kernel/src/log/recovery.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// The event did not belong to the recovery.
-    Same,
+    Unrelated,
     /// The recovery continues.
     Busy,
     /// The log contains all entries that the table held when it was read.
@@ -43,8 +43,8 @@
     #[default]
     Idle,
     Waiting(Ms),
-    Row(CallId),
-    Object(CallId),
+    SnapshotRow(CallId),
+    Snapshot(CallId),
     Tail(CallId),
 }
 
@@ -68,7 +68,7 @@
         if self.is_idle() {
             self.started_at = cx.now;
             let keys = vec![SNAPSHOT_KEY.to_owned()];
-            self.stage = Stage::Row(cx.table(TableOp::Get { keys }));
+            self.stage = Stage::SnapshotRow(cx.table(TableOp::Get { keys }));
         }
     }
 
@@ -98,16 +98,16 @@
         event: &Event,
     ) -> Progress {
         match (&self.stage, event) {
-            (Stage::Row(own), Event::Table { call, answer }) if own == call => {
+            (Stage::SnapshotRow(own), Event::Table { call, answer }) if own == call => {
                 self.handle_snapshot_row(cx, log, answer)
             }
-            (Stage::Object(own), Event::Object { call, answer }) if own == call => {
+            (Stage::Snapshot(own), Event::Object { call, answer }) if own == call => {
                 self.handle_snapshot(cx, log, answer)
             }
             (Stage::Tail(own), Event::Table { call, answer }) if own == call => {
                 self.handle_tail(cx, log, answer)
             }
-            _ => Progress::Same,
+            _ => Progress::Unrelated,
         }
     }
 
@@ -120,7 +120,7 @@
             _ => match self.handle_answer(cx, log, event) {
                 Progress::Done => self.failures = 0,
                 Progress::Failed => self.retry(cx),
-                Progress::Same | Progress::Busy => {}
+                Progress::Unrelated | Progress::Busy => {}
             },
         }
     }
@@ -161,7 +161,7 @@
         match found.first().map(rows::read_snapshot) {
             Some(Ok(row)) if row.seq.0 > log.seq().0 + u64::from(PAGE_ROWS) => {
                 let name = row.object;
-                self.stage = Stage::Object(cx.object(ObjectOp::Get { name }));
+                self.stage = Stage::Snapshot(cx.object(ObjectOp::Get { name }));
                 Progress::Busy
             }
             Some(Err(error)) => {
--- a/crates/kernel/src/once/bucket.rs
+++ b/crates/kernel/src/once/bucket.rs
@@ -462,14 +462,14 @@
     let key = row_key(id);
     let found = rows.iter().find(|it| it.key == key);
     bucket.size = found.map_or(0, |it| it.value.len());
-    let known = |version, ledger| RowState::Loaded {
+    let loaded = |version, ledger| RowState::Loaded {
         version,
         ledger,
         read_number,
     };
     bucket.row = match found.map(|it| (it.version, Ledger::decode(&it.value))) {
-        None => known(ABSENT, Ledger::default()),
-        Some((version, Ok(ledger))) => known(version, ledger),
+        None => loaded(ABSENT, Ledger::default()),
+        Some((version, Ok(ledger))) => loaded(version, ledger),
         Some((_, Err(error))) => {
             cx.log(
                 "claims-damaged",
--- a/crates/kernel/src/once/holder.rs
+++ b/crates/kernel/src/once/holder.rs
@@ -328,8 +328,7 @@
     release_claim(cx, state, pending.claim.key, attempt);
 }
 
-/// Releases a grant for an abandoned attempt. Its request never ran, because its caller was told that it did
-/// not get a grant.
+/// Releases a grant for an abandoned attempt. Its request never ran, because its caller received a refusal.
 fn release_grant(cx: &mut Context<'_>, state: &mut State, attempt: AttemptId) {
     if let Some(key) = state.once.holder.abandoned_key(attempt) {
         release_claim(cx, state, key, attempt);
--- a/crates/kernel/tests/once.rs
+++ b/crates/kernel/tests/once.rs
@@ -50,11 +50,11 @@
     let one = fleet.claim(0, "schedule-7", 1);
     let two = fleet.claim(count - 1, "schedule-7", 2);
     fleet.run(1_000);
-    let said = [fleet.reply_text(one), fleet.reply_text(two)];
-    let granted = said.iter().filter(|it| *it == "granted").count();
-    assert_eq!(granted, 1, "{said:?}");
-    assert!(said.contains(&"busy".to_owned()), "{said:?}");
-    let winner = if said[0] == "granted" {
+    let replies = [fleet.reply_text(one), fleet.reply_text(two)];
+    let granted = replies.iter().filter(|it| *it == "granted").count();
+    assert_eq!(granted, 1, "{replies:?}");
+    assert!(replies.contains(&"busy".to_owned()), "{replies:?}");
+    let winner = if replies[0] == "granted" {
         (0, 1)
     } else {
         (count - 1, 2)
--- a/crates/kernel/tests/once_order.rs
+++ b/crates/kernel/tests/once_order.rs
@@ -29,6 +29,7 @@
     Restart { node: usize },
 }
 
+/// When a write whose answer is lost takes effect.
 #[derive(Clone, Copy, Debug)]
 enum Effect {
     Before,
