--- a/crates/kernel/src/members/contact.rs
+++ b/crates/kernel/src/members/contact.rs
@@ -22,8 +22,8 @@
 /// Interval in ms at which a node checks whether it has to write a row.
 const CHECK_MS: u64 = 10_000;
 
-/// Time in ms from the first scan to the first check. Joins are over by then. A fleet that split in
-/// two at its start, where one half overwrote the rows of the other, merges before it serves.
+/// The same while a node starts, from its first scan on. Joins are over by then, and a fleet that split
+/// in two, where one half overwrote the rows of the other, merges before it serves.
 const FIRST_CHECK_MS: u64 = 2_000;
 
 /// Longest delay in ms before a node that found no contact writes a row.
@@ -56,7 +56,9 @@
 /// State of reading and writing contact rows.
 #[derive(Debug, Default)]
 pub(super) struct Contacts {
+    /// Scan in flight.
     scan: Option<CallId>,
+    /// Time of the last check.
     checked: Ms,
     written: Option<WrittenRow>,
     /// Contacts in other zones, kept until another node has sent its view to this process.
@@ -157,7 +159,7 @@
     contacts.checked = last_check_for(cx.now, pause);
 }
 
-/// Returns the time of last check that makes the next one due `pause` ms after `now`.
+/// Returns the time of the last check that makes the next one due `pause` ms after `now`.
 fn last_check_for(now: Ms, pause: u64) -> Ms {
     now + pause - CHECK_MS
 }
--- a/crates/kernel/src/members/probe.rs
+++ b/crates/kernel/src/members/probe.rs
@@ -64,10 +64,13 @@
 /// State of the probes in flight.
 #[derive(Debug, Default)]
 pub(super) struct Prober {
+    /// Time of the next probe.
     next: Ms,
+    /// Time of the last push.
     pushed: Ms,
     number: u64,
     rounds: u64,
+    /// Members still to be probed before each one has had its turn.
     order: Vec<NodeId>,
     pending: BTreeMap<u64, PendingProbe>,
     indirect: BTreeMap<u64, IndirectPing>,
--- a/crates/kernel/src/members/suspect.rs
+++ b/crates/kernel/src/members/suspect.rs
@@ -131,7 +131,7 @@
         self.deadlines.remove(&id);
     }
 
-    /// Removes `id` from the recent losses: it is reachable, or has left on its own.
+    /// Ends the suspicion of `id` and removes it from the recent losses: it is reachable, or has left.
     pub(super) fn retract(&mut self, id: NodeId) {
         self.deadlines.remove(&id);
         self.recent.retain(|(_, it)| *it != id);
@@ -172,9 +172,9 @@
             return Applied::Unchanged;
         }
         let known = self.others.get(&head.id);
-        let is_suspect =
+        let applies =
             known.is_some_and(|it| it.reach == Reach::Reachable && it.record.stamp() <= head.stamp);
-        if !is_suspect {
+        if !applies {
             return Applied::Unchanged;
         }
         self.mark_suspect(now, head);
