--- a/crates/kernel/tests/link.rs
+++ b/crates/kernel/tests/link.rs
@@ -1,4 +1,4 @@
-//! Admission of large bodies to a host's link, under the loads it is meant for.
+//! Admission of large bodies to a host's link.
 
 use std::collections::VecDeque;
 
@@ -10,20 +10,20 @@
 use rand_chacha::ChaCha8Rng;
 
 const MBPS: f64 = 7.0;
-/// Bytes a ms of the whole link.
+/// Bytes per ms of the whole link.
 const RATE: f64 = MBPS * 125.0;
 
 #[test]
-fn body_that_finds_the_link_free_is_let_in_whatever_its_length() {
+fn idle_link_admits_body_of_any_size() {
     let mut link = LinkGate::new(MBPS);
     assert_eq!(link.enter(10_000_000, 100), Ok(()));
     link.leave(10_000_000);
     assert_eq!(link.due(), 0);
 }
 
-/// Its caller is told after how long there is room again, so that it neither asks in vain nor waits for nothing.
+/// Guards against a retry time that is too short, so that the retry is refused again.
 #[test]
-fn refusal_tells_when_there_is_room() {
+fn refusal_states_when_to_retry() {
     let mut link = LinkGate::new(MBPS);
     while link.enter(60_000, 2_000).is_ok() {}
     let refusal = link.enter(60_000, 2_000).expect_err("it is full");
@@ -34,19 +34,17 @@
 }
 
 #[test]
-fn fast_link_refuses_nothing() {
+fn fast_link_refuses_no_body() {
     let mut link = LinkGate::new(1_000.0);
     for _ in 0..500 {
         assert_eq!(link.enter(60_000, 500), Ok(()));
     }
 }
 
-/// Scanned petitions of 60 KB arrive at a host of 7 Mbit/s half as fast again as the link carries them, among short
-/// requests. Without the gate the queue in the network grows for as long as the load lasts: after ten seconds
-/// everything waits five seconds, and nobody is served in time. With it the link stays busy, and a short request
-/// never waits longer than the bodies let in take.
+/// Guards against a queue on the link that grows for as long as large bodies arrive faster than it carries
+/// them, so that short requests time out behind them.
 #[test]
-fn overload_of_bodies_leaves_the_link_to_short_requests() {
+fn body_overload_does_not_delay_short_requests() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut link = LinkGate::new(MBPS);
     let mut arriving: VecDeque<(u64, f64)> = VecDeque::new();
@@ -76,6 +74,6 @@
         }
     }
     assert!(longest <= 500.0, "a short request waits {longest} ms");
-    // Two thirds fit; what is left of the link between two bodies is lost.
+    // The link carries two thirds of the bodies, less its idle time between two bodies.
     assert!(whole * 10 > asked * 6, "{whole} of {asked}");
 }
--- a/crates/kernel/tests/members.rs
+++ b/crates/kernel/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership under faults.
+//! Membership under faults of nodes and of the network.
 
 mod common;
 
@@ -24,16 +24,17 @@
     net.step(id(number), Event::Upstream(UpstreamEvent::Ready));
 }
 
+/// Guards against nodes that are missing from some views after all have joined.
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
-fn everyone_knows_everyone_after_the_joins(seed: u64) {
+fn views_agree_after_joins(seed: u64) {
     assert!(Net::settled(seed, &ZONES).converged());
 }
 
-/// No flag names a live node: the joiner reads the contact rows that each zone's members keep in the
-/// table and asks the nodes that it finds there.
+/// Guards against a node that stays alone because none of its configured peers is alive: it joins by the
+/// contact rows in the table.
 #[test]
-fn a_node_without_live_peers_joins_through_the_table() {
+fn node_without_live_peers_joins_by_table() {
     let mut net = Net::settled(3, &ZONES);
     let mut late = settings(12, "a");
     late.peers = vec![id(200)];
@@ -51,13 +52,12 @@
     assert!(rows.len() <= 3 * 3, "three rows a zone at most");
 }
 
-/// Datagrams are lost, doubled and arrive out of order all the time. Indirect probes and refutation
-/// keep every member in every view; nobody is removed.
+/// Guards against the removal of live members when datagrams are lost, duplicated and reordered.
 #[test_case(20, 0, 2; "lost")]
 #[test_case(0, 50, 2; "doubled")]
 #[test_case(0, 0, 200; "reordered")]
 #[test_case(15, 30, 150; "all three")]
-fn bad_datagrams_remove_nobody(lost: u32, doubled: u32, delay: u64) {
+fn datagram_faults_remove_no_member(lost: u32, doubled: u32, delay: u64) {
     let mut net = Net::settled(4, &ZONES);
     (net.duplicate, net.delay) = (doubled, delay);
     for from in ALL {
@@ -73,10 +73,10 @@
     assert!(net.converged());
 }
 
-/// Node 1's datagrams to node 2 vanish while every other path works. Node 1 asks others to probe
-/// node 2 in its place, they pass the answer on, and node 2 is never suspected.
+/// Guards against the suspicion of a member that only one node fails to reach: other members probe it for
+/// that node.
 #[test]
-fn asymmetric_loss_is_bridged_by_indirect_probes() {
+fn indirect_probes_bridge_one_way_loss() {
     let mut net = Net::settled(5, &ZONES);
     net.path(1, 2, Path::Cut);
     net.packets.clear();
@@ -95,19 +95,20 @@
     assert_eq!(net.reach(1, 2), Some(Reach::Reachable));
 }
 
+/// Guards against a dead node that stays in some view after its suspicion timeout.
 #[test]
-fn a_dead_node_is_suspected_then_removed_everywhere() {
+fn dead_node_is_removed_everywhere() {
     let mut net = Net::settled(6, &ZONES);
     net.kill(5);
     net.run(12_000 + 2 * suspicion_timeout_ms(12) + 4_000);
     assert_eq!(net.phases(5), [None].into());
 }
 
-/// Node 3 stands still for longer than it takes to be removed. Once it runs again it hears that it is
-/// dead, outdoes that and is back everywhere; it removes nobody for its own absence.
+/// Guards against a node that removes others because it was paused itself, or that does not return to all
+/// views after it was removed during the pause.
 #[test_case(2_000; "shorter than a suspicion")]
 #[test_case(60_000; "long enough to be removed")]
-fn a_paused_process_removes_nobody_and_returns(pause: u64) {
+fn paused_process_removes_no_member(pause: u64) {
     let mut net = Net::settled(7, &ZONES);
     net.pause(3);
     net.run(pause);
@@ -128,11 +129,11 @@
     assert!(!net.logs.iter().any(removed));
 }
 
-/// The process on one address is replaced. A later incarnation wins at once; one whose clock runs
-/// behind hears of the life before it and goes above that.
+/// Guards against a restarted node whose record loses to that of the earlier process, also if its clock is
+/// behind.
 #[test_case(2_000; "clock ahead")]
 #[test_case(500; "clock behind")]
-fn a_restart_on_the_same_address_takes_over(incarnation: u64) {
+fn restart_on_same_address_takes_over(incarnation: u64) {
     let mut net = Net::settled(8, &ZONES);
     net.kill(4);
     let mut again = settings(4, "b");
@@ -145,10 +146,9 @@
     assert_eq!(net.record(9, 4).map(|it| it.incarnation), Some(incarnation));
 }
 
-/// Zone c of a larger fleet dies at once. Its members are declared unreachable by one record of the
-/// zone, kept, and not removed one by one.
+/// Guards against one update per member when a zone is lost, and against the removal of its members.
 #[test]
-fn a_lost_zone_travels_as_one_record() {
+fn lost_zone_is_sent_as_one_update() {
     let zones: Vec<&str> = (0..48)
         .map(|it| ["a", "b", "c", "d", "e", "f"][it / 8])
         .collect();
@@ -173,10 +173,10 @@
     }
 }
 
-/// One node loses the network for five minutes. It keeps its whole view, marks what it misses and
-/// removes nobody; the others remove it. Healed, all views agree again.
+/// Guards against a partitioned node that removes the rest of the fleet, and against views that stay
+/// different after the partition.
 #[test]
-fn a_node_that_is_cut_off_keeps_its_view() {
+fn partitioned_node_keeps_its_view() {
     let mut net = Net::settled(10, &ZONES);
     net.cut(&[0]);
     net.run(300_000);
@@ -189,10 +189,9 @@
     assert!(net.converged());
 }
 
-/// Zones b and c are cut off together from zone a, twice. Each side keeps the other as unreachable;
-/// the periodic probes of a few lost members heal the whole.
+/// Guards against sides of a partition that remove each other, or that do not merge again after it.
 #[test]
-fn a_region_that_is_cut_off_heals() {
+fn partitioned_region_heals() {
     let mut net = Net::settled(11, &ZONES);
     for _ in 0..2 {
         net.cut(&[4, 5, 6, 7, 8, 9, 10, 11]);
@@ -206,10 +205,10 @@
     }
 }
 
-/// Node 6 leaves while node 1 cannot hear it; node 1 comes back and still holds the record of node 6.
-/// The tombstones of the others win: nobody sees node 6 again.
+/// Guards against a member that reappears because a node that missed its leave notice still holds its
+/// record.
 #[test]
-fn a_member_that_left_is_not_resurrected() {
+fn member_that_left_does_not_reappear() {
     let mut net = Net::settled(12, &ZONES);
     net.cut(&[1]);
     net.run(5_000);
@@ -231,10 +230,9 @@
     assert_eq!(net.phases(6), [None].into());
 }
 
-/// Node 6 leaves. A datagram that was on its way for long still tells the record that it had before. The
-/// tombstones cover it: no entry sends work to node 6 again.
+/// Guards against a member that reappears because of a delayed datagram with its last record.
 #[test]
-fn late_news_of_a_member_that_left_is_refused() {
+fn late_record_of_gone_member_is_rejected() {
     let mut net = Net::settled(31, &ZONES);
     let late = net.record(2, 6).expect("a member").clone();
     net.step(id(6), Event::Stop);
@@ -251,10 +249,10 @@
     assert_eq!(net.phases(6), [None].into());
 }
 
-/// Node 3 suspects node 5 and is then paused for longer than node 5 has to refute, while nothing reaches
-/// it. The time of a suspicion starts anew, so node 5, which is there, is not removed on waking.
+/// Guards against the removal of a suspect that could not refute while the node that suspects it was
+/// paused.
 #[test]
-fn a_pause_is_not_held_against_a_suspect() {
+fn pause_restarts_suspicion_timeouts() {
     let mut net = Net::settled(32, &ZONES);
     let head = net.record(3, 5).expect("a member").head();
     let packet = Packet::News {
@@ -275,10 +273,9 @@
     assert_eq!(net.reach(3, 5), Some(Reach::Reachable));
 }
 
-/// The upstream beside node 2 goes silent without a word. Its offer is withdrawn when the lease ends;
-/// the node itself stays a member, and a later heartbeat brings the offer back.
+/// Guards against an offer that outlives its upstream, and against a node that leaves with its upstream.
 #[test]
-fn an_offer_lapses_without_heartbeats() {
+fn offer_expires_without_heartbeats() {
     let mut net = Net::settled(13, &ZONES);
     announce(&mut net, 2);
     net.run(LEASE_MS - 100);
@@ -291,10 +288,10 @@
     assert_eq!((back.phase, back.offer.is_some()), (Phase::Ready, true));
 }
 
-/// The upstream beside node 2 drains and dies without withdrawing its announcement. The next upstream on
-/// the same host announces itself and is used.
+/// Guards against a node that refuses a new upstream because the one before drained and died without a
+/// leave notice.
 #[test]
-fn the_upstream_after_a_drained_one_is_used() {
+fn upstream_after_a_drained_one_is_used() {
     let mut net = Net::settled(14, &ZONES);
     announce(&mut net, 2);
     net.step(id(2), Event::Upstream(UpstreamEvent::Draining));
--- a/crates/kernel/tests/members_bulk.rs
+++ b/crates/kernel/tests/members_bulk.rs
@@ -1,4 +1,4 @@
-//! Membership of a fleet at full size, seen from one kernel.
+//! Membership of a fleet of full size, as one kernel sees it.
 
 mod common;
 
@@ -42,11 +42,10 @@
     (kernel, out)
 }
 
-/// A joiner asks a node that knows the whole fleet. The link drops frames above 64 KiB, so an answer in
-/// one message would never arrive; every chunk stays below and together they hold everyone.
-#[test_case(2_800; "size of today")]
-#[test_case(6_000; "twice that")]
-fn a_whole_view_is_sent_in_chunks(size: usize) {
+/// Guards against an answer to a join that exceeds the link's frame size and is dropped.
+#[test_case(2_800; "2800 nodes")]
+#[test_case(6_000; "6000 nodes")]
+fn whole_view_is_sent_in_chunks(size: usize) {
     let (mut kernel, _) = kernel(size);
     let record = record(size + 1);
     let from = record.id;
@@ -56,7 +55,7 @@
     for tick in 0..40 {
         kernel.step(Ms(1_100 + tick * 50), Event::Tick, &mut out);
     }
-    let mut told: BTreeSet<NodeId> = BTreeSet::new();
+    let mut received: BTreeSet<NodeId> = BTreeSet::new();
     for action in out {
         let Action::Send { to, message } = action else {
             continue;
@@ -66,18 +65,18 @@
         if let (true, Message::Members(members::Message::Records { updates })) =
             (to == from, message)
         {
-            told.extend(updates.iter().filter_map(|it| match it {
+            received.extend(updates.iter().filter_map(|it| match it {
                 Update::Record(it) => Some(it.id),
                 _ => None,
             }));
         }
     }
-    assert_eq!(told.len(), size + 1);
+    assert_eq!(received.len(), size + 1);
 }
 
-/// Two views of full size that share nothing are compared: no message of the exchange outgrows a frame.
+/// Guards against a message that exceeds the frame size when two disjoint views of full size are compared.
 #[test]
-fn a_comparison_of_strangers_fits_its_frames() {
+fn comparison_of_disjoint_views_fits_frame() {
     let (mut kernel, _) = kernel(6_000);
     let mut out = Vec::new();
     let digests = vec![0; 64];
@@ -96,7 +95,7 @@
     assert!(postcard::to_stdvec(message).expect("it encodes").len() <= CHUNK_MAX);
 }
 
-/// A thousand records change within one tick. Traffic threads get one new view, not a thousand.
+/// Guards against one published view per changed record.
 #[test]
 fn many_changes_within_a_tick_publish_one_view() {
     let (mut kernel, before) = kernel(1_000);
@@ -104,7 +103,7 @@
         let views = out.iter().filter(|it| matches!(it, Action::Publish(_)));
         views.count()
     };
-    // The start publishes the empty view, joining the fleet changes nothing of the node's own.
+    // The start publishes the empty view; joining changes nothing else before the tick.
     assert_eq!(published(&before), 1);
     let mut out = Vec::new();
     kernel.step(Ms(1_050), Event::Tick, &mut out);
@@ -114,10 +113,9 @@
     assert_eq!(published(&out), 0);
 }
 
-/// Somebody sends datagrams full of made-up zones and members that left long ago. What is kept of them
-/// is bounded, and the members that are there stay.
+/// Guards against memory growth by datagrams with made-up zones.
 #[test]
-fn made_up_news_fills_no_memory() {
+fn made_up_zones_use_bounded_memory() {
     let (mut kernel, _) = kernel(100);
     let mut out = Vec::new();
     for number in 0..2_000 {
--- a/crates/kernel/tests/members_converge.rs
+++ b/crates/kernel/tests/members_converge.rs
@@ -1,4 +1,4 @@
-//! Whatever the faults, once they end all views agree.
+//! Convergence of all views after random faults.
 
 mod common;
 
@@ -8,7 +8,7 @@
 
 const ZONES: [&str; 10] = ["a", "a", "a", "a", "b", "b", "b", "c", "c", "c"];
 
-/// One fault of a script.
+/// One fault of a random script.
 #[derive(Clone, Debug)]
 enum Fault {
     Kill(usize),
@@ -36,12 +36,12 @@
     (fault, 100..30_000_u64)
 }
 
-fn inflict(net: &mut Net, fault: Fault, life: u64) {
+fn apply_fault(net: &mut Net, fault: Fault, step: u64) {
     match fault {
         Fault::Kill(it) => net.kill(it),
         Fault::Restart(it) => {
             let mut again = settings(it, ZONES[it]);
-            again.incarnation += life;
+            again.incarnation += step;
             net.resume(it);
             net.start(again);
         }
@@ -60,16 +60,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 32, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Nodes die, restart, pause, leave and lose one another in any order. Ten quiet minutes later no
-    /// running node misses another one, and none of them holds a dead one as reachable.
+    /// Guards against views that stay different after random faults ended ten minutes ago.
     #[test]
     fn views_converge_after_any_faults(
         seed in 0..1_000_u64,
         script in prop::collection::vec(fault(), 1..12),
     ) {
         let mut net = Net::settled(seed, &ZONES);
-        for (life, (fault, millis)) in script.into_iter().enumerate() {
-            inflict(&mut net, fault, life as u64 + 1);
+        for (step, (fault, millis)) in script.into_iter().enumerate() {
+            apply_fault(&mut net, fault, step as u64 + 1);
             net.run(millis);
         }
         net.heal();
--- a/crates/kernel/tests/members_session.rs
+++ b/crates/kernel/tests/members_session.rs
@@ -1,4 +1,4 @@
-//! A golden session: a zone is cut off from a small fleet and healed.
+//! Snapshot of a session in which a zone is partitioned from a small fleet and healed.
 
 mod common;
 
@@ -9,8 +9,8 @@
 
 const ZONES: [&str; 9] = ["a", "a", "a", "b", "b", "b", "c", "c", "c"];
 
-/// Zone c is cut off for 40 s. Each side turns to unreachable within seconds and removes nobody; the
-/// news of a zone is one update with an epoch; after the cut the first answered probe brings all back.
+/// Guards against changes in how a partition of a zone is detected and healed: no member is removed, and
+/// the loss and the return of a zone are one update each.
 #[test]
 fn a_zone_is_cut_off_and_healed() {
     let mut net = Net::settled(1, &ZONES);
--- a/crates/kernel/tests/members_start.rs
+++ b/crates/kernel/tests/members_start.rs
@@ -1,4 +1,4 @@
-//! A whole fleet starts at once and finds itself through the table.
+//! Start of a whole fleet whose nodes know no peers and join by the contact rows in the table.
 
 #[path = "common/driver.rs"]
 mod driver;
@@ -13,7 +13,7 @@
 const ZONES: [&str; 5] = ["nasr", "maadi", "giza", "heliopolis", "shubra"];
 const NODES: usize = 100;
 
-/// Starts the node `index`, which knows nobody.
+/// Starts the node `index` without configured peers.
 fn start(driver: &mut Driver, index: usize) {
     driver.add_with(Settings {
         node: node(index),
@@ -24,15 +24,13 @@
     });
 }
 
-/// Calls of the table are priced, and all nodes together may make so many a second. A hundred processes start within a
-/// third of a second, after power was lost; none knows another. Each took itself for one of the three that keep their
-/// zone's rows, as it knew nobody else yet, wrote one and read them all again. They must still all find one another before
-/// they serve.
+/// Guards against excess calls of the table when a whole fleet starts at once and each node takes itself
+/// for a writer of its zone's contact rows; all nodes must still find one another.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
 #[test_case(4)]
-fn fleet_that_starts_together_asks_the_table_little(seed: u64) {
+fn fleet_start_makes_few_table_calls(seed: u64) {
     let mut driver = Driver::new(&[]);
     driver.now = driver.now + seed;
     for index in 0..NODES {
@@ -47,22 +45,21 @@
     assert!(calls <= 2 * NODES, "{calls} calls of {NODES} nodes");
 }
 
-/// Calls fail for want of an endpoint, at five hosts of twenty-five, until the whole fleet restarts. Five processes start a
-/// moment before the others, keep a row each and find each other; the others had looked before, and overwrite those rows with
-/// theirs. Nobody knew of the five any more, and they took their rows for kept. They look again after two seconds.
+/// Guards against a fleet that stays split because nodes that found each other first had their contact rows
+/// overwritten by the others.
 #[test]
-fn fleet_that_starts_at_one_moment_stays_whole() {
+fn fleet_merges_after_rows_are_overwritten() {
     for seed in 0..24 {
         let mut driver = Driver::new(&[]);
         driver.now = driver.now + seed;
         driver.delay = 15;
         for index in 0..25 {
             start(&mut driver, index);
-            // One host a zone is faster than the others.
+            // The first host of each zone starts earlier than the others.
             driver.run(if index == 4 { 40 } else { 0 });
         }
         driver.run(45);
-        // The rows of the five, who have found each other, are overwritten before anybody else reads them.
+        // The rows of the first five nodes are lost before any other node reads them.
         driver
             .rows
             .retain(|key, _| !key.starts_with(CONTACT_PREFIX));
@@ -74,10 +71,10 @@
     }
 }
 
-/// All hosts of a small fleet restart within a fifth of a second. A zone there may lack a service, and its hosts refused each
-/// request for it for seconds, as those who found a contact nearby asked nobody abroad.
+/// Guards against hosts that refuse requests for seconds after a restart of the fleet because they joined
+/// only contacts of their own zone and do not know the other zones.
 #[test]
-fn small_fleet_that_restarts_knows_its_other_zones_soon() {
+fn restarted_fleet_soon_knows_all_zones() {
     for seed in 0..16 {
         let mut driver = Driver::new(&[]);
         driver.now = driver.now + seed;
@@ -110,10 +107,9 @@
     }
 }
 
-/// A fleet of one node, or one whose peers are all gone, has nobody to be found by. It must not write its row and read all of
-/// them every two seconds for as long as that lasts.
+/// Guards against a node without peers that writes its contact row and scans all rows at every check.
 #[test]
-fn node_that_stays_alone_asks_the_table_seldom() {
+fn lone_node_makes_few_table_calls() {
     let mut driver = Driver::new(&[]);
     start(&mut driver, 0);
     driver.run(50_000);
--- a/crates/kernel/tests/spread.rs
+++ b/crates/kernel/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Spread: pushes of a change reach every node in spite of what is lost, late, wrong or dead on its way.
+//! Distribution of changes by pushes, under faults of messages, nodes and the table.
 
 #[path = "common/driver.rs"]
 mod driver;
@@ -20,7 +20,7 @@
 use driver::{Fate, Tap, node, put};
 use fleet::{ZONES, accept, converge, digests, fleet, newest, ready, seqs};
 
-/// A tap that treats pushes only; it is told how many came before.
+/// Returns a tap that applies `fate` to pushes only. `fate` gets the number of pushes before.
 fn on_push(mut fate: impl FnMut(usize, usize, &mut wire::Range) -> Fate + 'static) -> Tap {
     let mut count = 0;
     Box::new(move |_, from, _, message| match message {
@@ -32,7 +32,7 @@
     })
 }
 
-fn none() -> Tap {
+fn no_fault() -> Tap {
     on_push(|_, _, _| Fate::Arrives)
 }
 
@@ -84,16 +84,15 @@
     })
 }
 
-// An operator's changes are accepted while something goes wrong between the nodes. Every node still holds
-// them within the 8 s that the users were promised, none steps back, and all hold the same: pushes are
-// the quick way only, and whatever they fail to bring is noticed by comparison and pulled from a peer.
-#[test_case(none(); "no fault")]
+// Guards against nodes that miss a change, step back or hold another state when pushes are lost, late or
+// damaged: comparisons and pulls have to repair it in time.
+#[test_case(no_fault(); "no fault")]
 #[test_case(every_third_lost(); "every third push lost")]
 #[test_case(all_lost(); "every push lost")]
 #[test_case(doubled(); "pushes doubled")]
 #[test_case(reordered(); "pushes late and out of order")]
 #[test_case(wrong_digest(); "pushes with a wrong digest")]
-#[test_case(wrong_base(); "deltas to a text that nobody holds")]
+#[test_case(wrong_base(); "deltas with an unknown base")]
 #[test_case(cut_short(); "pushes cut short")]
 fn changes_reach_every_node_within_8_s(tap: Tap) {
     let mut driver = fleet(24, &SpreadSettings::default());
@@ -107,18 +106,16 @@
     assert_eq!(digests(&driver).len(), 1);
 }
 
-// Two roots of a zone push the same news at the same moment, as when one read the table while the committer
-// told the other. Their trees overlap. Were a node to pass on only what it hears first, both trees could
-// count on each other for the same node, which would then wait for repair; nothing is lost here, so every
-// node has to hold the news at once, for any two roots.
+// Guards against nodes that get no push when two roots of a zone push the same entries at once: each
+// node has to forward the pushes of both.
 #[test]
-fn overlapping_trees_leave_nobody_out() {
+fn overlapping_trees_reach_every_node() {
     let settings = SpreadSettings {
         degree: 2,
         ..SpreadSettings::default()
     };
     let mut log = Log::default();
-    let change = accepted_first();
+    let change = first_batch();
     log.apply(change.into());
     let mut history = History::default();
     history.follow(&log);
@@ -148,17 +145,17 @@
     }
 }
 
-/// The first batch that a fleet accepts.
-fn accepted_first() -> Batch {
+/// Returns the first batch that a fleet accepts.
+fn first_batch() -> Batch {
     let mut driver = fleet(1, &SpreadSettings::default());
     accept(&mut driver, 0, &put(1, "a", 0, &[]));
     driver.entries().remove(0).batch
 }
 
-// The table goes down the moment it accepted a change. Relays can't read it any more, yet the change is
-// in force everywhere in time: the committer tells the relays, and nothing else needs the table.
+// Guards against an accepted change that stops spreading when the table goes down at once: the committer
+// pushes it to the relays.
 #[test]
-fn table_outage_does_not_stop_an_accepted_change() {
+fn accepted_change_spreads_in_table_outage() {
     let mut driver = fleet(24, &SpreadSettings::default());
     let seq = accept(&mut driver, 4, &put(1, "a", 0, &[]));
     driver.down = true;
@@ -166,9 +163,8 @@
     assert_eq!(ready(&driver).len(), 24);
 }
 
-// A hundred changes arrive within seconds at nodes whose budget carries a fraction of them. Pushes wait
-// and each carries the net change of what gathered meanwhile; averaged over a minute nobody exceeds the
-// budget and every node ends up with everything.
+// Guards against a node that exceeds its budget averaged over a minute when many changes arrive at once,
+// and against changes that are lost while pushes are delayed.
 #[test]
 fn burst_over_budget_is_coalesced() {
     let settings = SpreadSettings {
@@ -195,16 +191,16 @@
     let stats = driver.kernels.iter().map(|it| it.state().spread.stats());
     let delayed: u64 = stats.map(|it| it.delayed).sum();
     assert!(delayed > 0);
-    // A full bucket and a minute's refill.
+    // At most a full bucket and a minute's refill.
     let most = sent.borrow().values().max().copied().unwrap_or_default();
     assert!(most <= 2 * 60 * 100, "{most} bytes in a minute");
     assert_eq!(digests(&driver).len(), 1);
 }
 
-// The baselines that the mechanism is measured against bring changes everywhere as well.
+// Guards against changes that are lost in the modes that serve as baselines for measurements.
 #[test_case(SpreadMode::Poll, SpreadForm::Delta; "every node polls")]
 #[test_case(SpreadMode::Relays, SpreadForm::Full; "full texts")]
-fn baselines_converge(mode: SpreadMode, form: SpreadForm) {
+fn poll_and_full_text_modes_converge(mode: SpreadMode, form: SpreadForm) {
     let settings = SpreadSettings {
         mode,
         form,
@@ -217,9 +213,8 @@
     assert_eq!(digests(&driver).len(), 1);
 }
 
-// A relay dies after its first push of a change. Its other children and those below them are not told. The
-// zone's other relay learns of the change from the table or a peer and pushes it down a tree of its own. Pulls
-// between peers are lost, so nothing but that relay can bring it.
+// Guards against nodes that miss a change because a relay died during its push: another relay has to read
+// it from the table or a peer and push it. Pulls are lost, so only that relay can bring it.
 #[test]
 fn relay_dies_in_mid_push() {
     let mut driver = fleet(12, &SpreadSettings::default());
@@ -285,7 +280,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn delta_leads_from_any_text_to_any_other(old in ".{0,300}", new in ".{0,300}") {
+    fn delta_restores_any_text(old in ".{0,300}", new in ".{0,300}") {
         let wire::Form::Delta { base, patch } = wire::diff(&old, &new) else {
             return Err(TestCaseError::fail("a delta expected"));
         };
@@ -294,16 +289,16 @@
     }
 
     #[test]
-    fn damaged_bodies_are_refused_or_decode(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn damaged_bodies_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = wire::unpack(&bytes);
         let _ = wire::patch("base", &bytes);
     }
 }
 
-// A peer sends a few bytes that unpack to more than any document may have. They are refused from their
-// header, before memory for them is taken.
+// Guards against memory exhaustion by a short patch that expands to more than the size limit of a
+// document.
 #[test]
-fn patch_that_expands_beyond_a_document_is_refused() {
+fn oversized_patch_is_refused() {
     let zeros = vec![0; laburnum_kernel::platform::VALUE_MAX + 1];
     let packed = zstd::bulk::compress(&zeros, 3).expect("the memory suffices");
     let patch: Vec<u8> = std::iter::once(1).chain(packed).collect();
@@ -315,7 +310,7 @@
 }
 
 #[test]
-fn history_answers_nobody_ahead_of_it() {
+fn history_has_no_range_ahead_of_log() {
     let mut history = History::default();
     let log = Log::default();
     assert!(history.range(&log, Seq(1), SpreadForm::Delta).is_none());
--- a/crates/kernel/tests/spread_repair.rs
+++ b/crates/kernel/tests/spread_repair.rs
@@ -1,4 +1,4 @@
-//! Spread's repair: nodes that lack something, restarted or hold a wrong state notice it and catch up.
+//! Repair of configuration: nodes that lack entries, restarted or hold a wrong state catch up.
 
 #[path = "common/driver.rs"]
 mod driver;
@@ -39,12 +39,10 @@
     }
 }
 
-// A committer accepts a change, serves it, and crashes before any push left; the table goes down and the process
-// comes back. Its peers agree on a configuration without the change. Were it ready on their word, its callers would
-// be served by older configuration than a moment ago; its witnesses tell it that there may be more, so it waits for
-// the table. One crash of another node in the same outage is not held up by that.
+// Guards against a committer that crashed before its push and serves older configuration after a restart
+// while the table is down. Another node that restarts in the same outage must not wait.
 #[test]
-fn committer_that_told_nobody_waits_for_the_table() {
+fn restarted_committer_waits_for_table() {
     let mut driver = fleet(6, &SpreadSettings::default());
     let region = driver.kernels[0].settings().region.clone();
     let first = committer(driver.kernels[0].state(), &region).expect("a committer");
@@ -77,10 +75,9 @@
     assert_eq!(ready(&driver).len(), 6);
 }
 
-// A node hears nothing while many changes are made. Once it hears again it is brought up to date by the
-// net difference, one text a service, however many entries of the log it missed.
+// Guards against a catch-up that sends every missed entry of the log instead of the net change.
 #[test]
-fn gap_is_closed_by_the_net_difference() {
+fn gap_is_filled_by_net_change() {
     let mut driver = fleet(12, &SpreadSettings::default());
     accept(&mut driver, 4, &put(1, "a", 0, &[]));
     driver.run(8_000);
@@ -106,7 +103,7 @@
     assert_eq!(*fills.borrow(), vec![1]);
 }
 
-/// Text that does not compress: what a fleet's documents come to, in few services.
+/// Returns a submission with a long text that does not compress.
 fn bulky(id: u128) -> Submission {
     let service = format!("bulk-{id}");
     let noise = (0..400u128).map(|it| {
@@ -120,11 +117,10 @@
     }
 }
 
-// All nodes but three restart at once and want the whole state, which is several messages long. No node
-// serves more of them at a time than its setting, the others are refused and come back at random moments;
-// no message outgrows the link's frame; a node is not ready before it holds what its peers hold.
+// Guards against peers that serve more catch-ups at once than their slots when most of a fleet restarts,
+// against messages above the frame size, and against nodes that are ready too early.
 #[test]
-fn herd_catches_up_and_no_peer_is_overrun() {
+fn mass_restart_catches_up_within_slots() {
     let settings = SpreadSettings {
         slots: 1,
         catchup: 4 * 1024,
@@ -167,11 +163,9 @@
     assert!(largest <= 60 * 1024, "{largest} bytes");
 }
 
-// One node restarts and asks a peer for a state that is larger than the peer's allowance for catch-ups. The
-// peer sends a minute's worth at once and the rest at its rate, so that those who return in a storm do not
-// take the bandwidth of the others; the node gets all of it in the end.
+// Guards against a catch-up that exceeds the byte budget of the peer that serves it, or that never ends.
 #[test]
-fn catch_up_keeps_to_its_allowance() {
+fn catch_up_keeps_to_its_budget() {
     let rate = 2 * 1024;
     let settings = SpreadSettings {
         catchup: rate,
@@ -203,11 +197,10 @@
     converge(&mut driver, seq, 120_000);
 }
 
-// Every node of the fleet restarts while the table is down: each finds peers at its own position, all at
-// nothing. Were that taken for agreement they would serve an empty configuration. They stay not ready
-// until the table answers again.
+// Guards against a fleet that restarts while the table is down, agrees on an empty configuration and
+// serves it.
 #[test]
-fn restarted_fleet_does_not_agree_on_nothing() {
+fn restarted_fleet_is_not_ready_without_table() {
     let mut driver = fleet(9, &SpreadSettings::default());
     let seq = accept(&mut driver, 4, &put(1, "a", 0, &[]));
     converge(&mut driver, seq, 8_000);
@@ -221,9 +214,8 @@
     assert_eq!(ready(&driver).len(), 9);
 }
 
-// One node holds another text than all the others at the same position, as after a flipped bit in its
-// memory. Positions agree, so nothing would ever be pulled; the digests that its peers tell do not, and
-// once two of them contradict it, it takes over the whole state in place of its own.
+// Guards against a node that keeps a wrong state at the right position: it replaces its state once the
+// digests of two peers contradict it.
 #[test]
 fn state_that_peers_contradict_is_replaced() {
     let mut driver = fleet(9, &SpreadSettings::default());
@@ -257,17 +249,17 @@
     assert_eq!(digests(&driver).len(), 1);
 }
 
-// An operator asks any node whether a change is in force everywhere. While a node hears nothing the
-// answer is no, naming it; once it caught up the answer is yes, with every node counted once.
+// Guards against a status that reports a change as everywhere while a node lags, does not name that node,
+// or counts a node twice.
 #[test]
-fn status_tells_who_lags() {
+fn status_names_lagging_nodes() {
     let mut driver = fleet(12, &SpreadSettings::default());
     accept(&mut driver, 4, &put(1, "a", 0, &[]));
     driver.run(15_000);
     let it = status(&mut driver, 5);
     assert!(it.everywhere, "{it:?}");
     assert_eq!((it.nodes, it.reported), (12, 12));
-    // A leaf: it has no children whose reports would be cut off with it.
+    // A leaf of the report tree, so that no other report is lost with its own.
     let leaf = 11;
     driver.deaf.insert(leaf);
     let seq = accept(&mut driver, 4, &put(2, "b", 0, &[]));
@@ -282,10 +274,10 @@
     assert!(it.everywhere, "{it:?}");
 }
 
-// Whatever the fates of messages while operators submit, once the network heals every node holds the same
-// state, the table's, and none stepped back on the way.
+// Guards against nodes that differ from the table after random faults of messages and restarts, or that
+// step back meanwhile.
 #[test]
-fn any_faults_end_in_one_state() {
+fn nodes_converge_after_any_faults() {
     let fate = prop_oneof![
         4 => Just(Fate::Arrives),
         2 => Just(Fate::Lost),
