--- a/crates/kernel/examples/members_cost.rs
+++ b/crates/kernel/examples/members_cost.rs
@@ -1,11 +1,10 @@
-//! What membership costs one node, by the size of the fleet that it knows.
+//! Prints the memory, CPU time and bytes that membership costs one node, by the size of the fleet.
 //!
 //! `cargo run --release -p laburnum-kernel --example members_cost`
 //!
-//! One kernel is observed among so many known members, which a few lines here answer for: each member
-//! answers pings, one in a fleet pings the observed node once a second, and members are replaced at
-//! the given rate. Bytes are those of datagrams and messages, sent and received, with 28 bytes of IP and
-//! UDP headers and 8 of the link's frame each; TCP's own headers are not counted.
+//! One kernel runs among simulated members: they answer pings, one of them pings the kernel once a
+//! second, and records change at the given rate. Bytes are those of datagrams and messages with 28 bytes
+//! of IP and UDP headers and 8 of the link's frame each; TCP headers are not counted.
 
 use std::{
     collections::VecDeque,
@@ -23,21 +22,21 @@
 const ZONES: usize = 17;
 const SERVICES: usize = 190;
 const SECONDS: u64 = 600;
-/// Kernels that memory is averaged over.
+/// Number of kernels that the memory is averaged over.
 const KERNELS: u64 = 10;
-/// A frame's sender, and the headers of IP and UDP.
+/// Bytes of the sender in a frame and of the IP and UDP headers.
 const OVERHEAD: usize = 8 + 28;
-/// Members that change in an hour, of each fleet: the letter's 730 a day, or all of them in an hour.
+/// Names of the churn rates, and changed members per hour.
 const CHURN: [(&str, u64); 3] = [("none", 0), ("730 a day", 30), ("730 an hour", 730)];
 
 fn main() {
     println!("members  view build us  resident KB for members (growth of VmRSS)");
-    // Kept until the end: memory that was given back would hide the growth of the next size.
+    // Kept until the end, since freed memory would hide the growth of the next size.
     let mut kept = Vec::new();
     for size in SIZES {
-        let before = resident();
-        let kernels: Vec<Kernel> = (0..KERNELS).map(|_| joined(size)).collect();
-        let grown = resident().saturating_sub(before) / KERNELS;
+        let before = resident_kb();
+        let kernels: Vec<Kernel> = (0..KERNELS).map(|_| joined_kernel(size)).collect();
+        let grown = resident_kb().saturating_sub(before) / KERNELS;
         let begun = Instant::now();
         for _ in 0..100 {
             std::hint::black_box(view::build(
@@ -98,7 +97,7 @@
     }
 }
 
-fn joined(size: usize) -> Kernel {
+fn joined_kernel(size: usize) -> Kernel {
     let settings = Settings {
         node: id(0),
         zone: name("region-zone", 0),
@@ -125,7 +124,7 @@
 }
 
 fn observe(size: usize, churn: u64) -> Cost {
-    let mut kernel = joined(size);
+    let mut kernel = joined_kernel(size);
     let mut cost = Cost {
         sent: 0,
         received: 0,
@@ -139,7 +138,7 @@
         if tick % 20 == 0 {
             let from = id(1 + tick as usize % (size - 1));
             let mut updates = Vec::new();
-            // Each change is heard of about as often as this node tells others of one.
+            // Each change is received about as often as this node sends one.
             while changed < churn * tick / 20 / 3_600 {
                 changed += 1;
                 version += 1;
@@ -149,7 +148,7 @@
             }
             let number = tick;
             let packet = Packet::Ping { number, updates };
-            cost.received += bytes(&packet);
+            cost.received += wire_bytes(&packet);
             waiting.push_back(Event::Probe { from, packet });
         }
         waiting.push_back(Event::Tick);
@@ -159,29 +158,29 @@
             kernel.step(now, event, &mut out);
             cost.busy += begun.elapsed();
             for action in out {
-                answer(action, &kernel, &mut cost, &mut waiting);
+                simulate_peers(action, &kernel, &mut cost, &mut waiting);
             }
         }
     }
     cost
 }
 
-fn answer(action: Action, kernel: &Kernel, cost: &mut Cost, waiting: &mut VecDeque<Event>) {
+fn simulate_peers(action: Action, kernel: &Kernel, cost: &mut Cost, waiting: &mut VecDeque<Event>) {
     match action {
         Action::Probe { to, packet } => {
-            cost.sent += bytes(&packet);
+            cost.sent += wire_bytes(&packet);
             if let Packet::Ping { number, updates } = packet {
-                // The answer carries about as much news as the question.
+                // The ack carries as many bytes of updates as the ping.
                 let packet = Packet::Ack { number, updates };
-                cost.received += bytes(&packet);
+                cost.received += wire_bytes(&packet);
                 waiting.push_back(Event::Probe { from: to, packet });
             }
         }
         Action::Send { to, message } => {
-            cost.sent += bytes(&message);
+            cost.sent += wire_bytes(&message);
             if let Message::Members(members::Message::Compare { .. }) = message {
                 let message = Message::Members(members::Message::Same);
-                cost.received += bytes(&message);
+                cost.received += wire_bytes(&message);
                 waiting.push_back(Event::Message { from: to, message });
             }
         }
@@ -191,12 +190,12 @@
     }
 }
 
-fn bytes<T: serde::Serialize>(value: &T) -> usize {
+fn wire_bytes<T: serde::Serialize>(value: &T) -> usize {
     OVERHEAD + postcard::to_stdvec(value).expect("it encodes").len()
 }
 
-/// Resident memory of this process in KB; zero where the system does not tell.
-fn resident() -> u64 {
+/// Returns the resident memory of this process in KB, or zero if the system doesn't report it.
+fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|it| it.starts_with("VmRSS"));
     line.and_then(|it| it.split_whitespace().nth(1)?.parse().ok())
--- a/crates/kernel/examples/members_fleet.rs
+++ b/crates/kernel/examples/members_fleet.rs
@@ -1,8 +1,8 @@
-//! How fast news of members travels in a whole fleet, and what it costs each node.
+//! Prints how long membership changes take to reach a whole fleet, and how many bytes each node sends.
 //!
 //! `cargo run --release -p laburnum-kernel --example members_fleet -- [nodes, default 680]`
 //!
-//! Every node is a kernel; datagrams take 1 to 2 ms. Nodes start within one second, 17 zones.
+//! Every node is a kernel; datagrams take 1 to 2 ms. The nodes of 17 zones start within one second.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -23,7 +23,7 @@
     let nodes: usize = argument.unwrap_or(680);
     let mut net = Net::new(1);
     for number in 0..nodes {
-        net.start(fresh(number, number));
+        net.start(new_node(number, number));
     }
     let joined = until(&mut net, 120_000, |net| {
         let known = |it: &Kernel| it.state().members.alive().count();
@@ -31,45 +31,45 @@
     });
     println!("{nodes} nodes in {ZONES} zones");
     report(
-        "everyone knows everyone after a start together",
+        "all views complete after a simultaneous start",
         joined,
         &net,
         &BTreeMap::new(),
     );
-    quiet(&mut net, 30_000);
+    run_quiet(&mut net, 30_000);
     let before = net.bytes.clone();
-    quiet(&mut net, 60_000);
+    run_quiet(&mut net, 60_000);
     report("quiet minute", Some(60_000), &net, &before);
     drain(&mut net);
     crash(&mut net);
     zone_loss(&mut net, nodes);
-    quiet(&mut net, 30_000);
-    rolling(&mut net, nodes);
+    run_quiet(&mut net, 30_000);
+    replace_nodes(&mut net, nodes);
 }
 
 fn zone(number: usize) -> String {
     format!("zone-{}", number % ZONES)
 }
 
-/// Node `number` in the zone of its number, with two first contacts of a few in the fleet.
-fn fresh(number: usize, salt: usize) -> Settings {
+/// Returns the settings of a new node, with two configured peers out of the first nodes of the fleet.
+fn new_node(number: usize, salt: usize) -> Settings {
     let mut settings = settings(number, &zone(number));
     settings.peers = vec![id(salt % 47), id(salt * 7 % 43)];
     settings
 }
 
-/// Five minutes in which a node leaves and another one starts every 5 s, the letter's 730 an hour.
-fn rolling(net: &mut Net, nodes: usize) {
+/// Replaces one node by a new one every 5 s for five minutes.
+fn replace_nodes(net: &mut Net, nodes: usize) {
     let before = net.bytes.clone();
     for number in 0..60 {
         let leaving = 50 + number;
         net.step(id(leaving), Event::Stop);
         net.step(id(leaving), Event::Idle);
-        net.start(fresh(nodes + number, number));
-        quiet(net, 5_000);
+        net.start(new_node(nodes + number, number));
+        run_quiet(net, 5_000);
     }
     report(
-        "five minutes, one replaced every 5 s",
+        "five minutes, one node replaced every 5 s",
         Some(300_000),
         net,
         &before,
@@ -77,7 +77,7 @@
 }
 
 fn drain(net: &mut Net) {
-    quiet(net, 30_000);
+    run_quiet(net, 30_000);
     let before = net.bytes.clone();
     net.step(id(20), Event::Stop);
     let seen = until(net, 30_000, |net| {
@@ -85,23 +85,28 @@
     });
     report("drain seen everywhere", seen, net, &before);
     net.step(id(20), Event::Idle);
-    quiet(net, 30_000);
+    run_quiet(net, 30_000);
 }
 
 fn crash(net: &mut Net) {
     let before = net.bytes.clone();
     net.kill(21);
-    let doubted = until(net, 60_000, |net| {
+    let suspected = until(net, 60_000, |net| {
         let viewers = net.nodes.values();
         let reach = |it: &Kernel| it.state().members.reach(id(21));
         viewers
             .into_iter()
             .all(|it| reach(it) != Some(Reach::Reachable))
     });
-    report("crashed node suspected everywhere", doubted, net, &before);
+    report("crashed node suspected everywhere", suspected, net, &before);
     let seen = until(net, 120_000, |net| net.phases(21) == [None].into());
-    report("and removed everywhere, after that", seen, net, &before);
-    quiet(net, 30_000);
+    report(
+        "crashed node removed everywhere, after that",
+        seen,
+        net,
+        &before,
+    );
+    run_quiet(net, 30_000);
 }
 
 fn zone_loss(net: &mut Net, nodes: usize) {
@@ -118,11 +123,11 @@
     };
     let seen = until(net, 60_000, unreachable);
     report("lost zone unreachable everywhere", seen, net, &before);
-    quiet(net, 60_000 - seen.unwrap_or(60_000));
-    report("the minute of the loss", Some(60_000), net, &before);
+    run_quiet(net, 60_000 - seen.unwrap_or(60_000));
+    report("minute of the zone loss", Some(60_000), net, &before);
 }
 
-/// Runs until `done` holds; the ms that it took.
+/// Runs until `done` holds. Returns the time that it took in ms, or `None` after `most` ms.
 fn until(net: &mut Net, most: u64, done: impl Fn(&Net) -> bool) -> Option<u64> {
     let begun = net.now;
     while net.now.since(begun) < most {
@@ -135,7 +140,7 @@
     None
 }
 
-fn quiet(net: &mut Net, millis: u64) {
+fn run_quiet(net: &mut Net, millis: u64) {
     until(net, millis, |_| false);
 }
 
--- a/crates/kernel/examples/spread_bytes.rs
+++ b/crates/kernel/examples/spread_bytes.rs
@@ -1,5 +1,4 @@
-//! Prints the bytes that typical changes take in each form that was weighed for the wire, and in whole
-//! messages as they are sent.
+//! Prints the sizes of typical changes in several candidate wire forms, and in whole messages as sent.
 //!
 //! Run with `cargo run --release -p laburnum-kernel --example spread_bytes`.
 
@@ -58,15 +57,15 @@
         println!(
             "{name:24}{:7}{:7}{:7}{:7}{:9}{:9}{:7}{:8}{:8}{:9}",
             new.len(),
-            lz4(b"", new),
-            zstd(b"", new.as_bytes()),
+            lz4_len(b"", new),
+            zstd_len(b"", new.as_bytes()),
             miniz_oxide::deflate::compress_to_vec(new.as_bytes(), 9).len(),
-            lz4(template, new),
-            zstd(template, new.as_bytes()),
+            lz4_len(template, new),
+            zstd_len(template, new.as_bytes()),
             lines.len(),
-            zstd(template, &lines),
-            lz4(old.as_bytes(), new),
-            zstd(old.as_bytes(), new.as_bytes()),
+            zstd_len(template, &lines),
+            lz4_len(old.as_bytes(), new),
+            zstd_len(old.as_bytes(), new.as_bytes()),
         );
     }
     println!(
@@ -74,7 +73,7 @@
         "services in one message", "log row", "full", "delta", "ids"
     );
     for count in [1, 5, 20, 100] {
-        messages(
+        print_messages(
             count,
             &large,
             &large.replacen("deadline = \"1007ms\"", "deadline = \"2500ms\"", 1),
@@ -90,8 +89,8 @@
     );
 }
 
-/// Sizes of whole messages that bring `count` services from one version to the next, in bytes.
-fn messages(count: u64, old: &str, new: &str) {
+/// Prints the sizes in bytes of whole messages that update `count` services by one version.
+fn print_messages(count: u64, old: &str, new: &str) {
     let mut log = Log::default();
     let mut history = History::default();
     let batch = |seq: u64, text: &str| Batch {
@@ -130,7 +129,7 @@
     }
 }
 
-/// A document with `routes` routes.
+/// Returns a document with `routes` routes.
 fn document(routes: usize) -> String {
     let head = include_str!("../../../examples/nile/drafting-desk.toml");
     let head = head.split("[[routes]]").next().unwrap_or_default();
@@ -148,18 +147,18 @@
     (0..routes).fold(head.to_owned(), |text, it| text + &route(it))
 }
 
-fn lz4(dictionary: &[u8], text: &str) -> usize {
+fn lz4_len(dictionary: &[u8], text: &str) -> usize {
     lz4_flex::block::compress_with_dict(text.as_bytes(), dictionary).len()
 }
 
-fn zstd(dictionary: &[u8], bytes: &[u8]) -> usize {
+fn zstd_len(dictionary: &[u8], bytes: &[u8]) -> usize {
     let packed = zstd::bulk::Compressor::with_dictionary(19, dictionary)
         .and_then(|mut it| it.compress(bytes))
         .expect("the memory suffices");
     packed.len()
 }
 
-/// Runs of lines kept or dropped as two-byte counts, new lines as text.
+/// Returns a line-based delta: runs of kept or dropped lines as two-byte counts, new lines as text.
 fn line_delta(old: &str, new: &str) -> Vec<u8> {
     let diff = TextDiff::from_lines(old, new);
     let mut bytes = Vec::new();
--- a/crates/kernel/examples/spread_run.rs
+++ b/crates/kernel/examples/spread_run.rs
@@ -1,7 +1,7 @@
-//! Prints how long changes take to reach every node and what they cost each of them.
+//! Prints how long changes take to reach every node and how many bytes each node sends.
 //!
-//! Run with `cargo run --release -p laburnum-kernel --example spread_run -- [nodes a zone] [zones]`. The
-//! kernels are real, time and network are not: 2 ms from node to node and to the table, nothing is lost.
+//! Run with `cargo run --release -p laburnum-kernel --example spread_run -- [nodes per zone] [zones]`.
+//! Time and network are simulated: 2 ms from node to node and to the table, without losses.
 
 #[path = "../tests/common/driver.rs"]
 mod driver;
@@ -16,7 +16,7 @@
 
 use driver::{Driver, name, node, put};
 
-/// Services, each of which the burst changes once.
+/// Number of services, each of which the burst changes once.
 const SERVICES: u64 = 100;
 
 fn main() {
@@ -52,13 +52,13 @@
         ("nile, full texts", full),
         ("every node polls", poll),
     ] {
-        run(label, &spread, nodes, zones);
+        run_case(label, &spread, nodes, zones);
     }
 }
 
-fn run(label: &str, spread: &SpreadSettings, nodes: usize, zones: usize) {
+fn run_case(label: &str, spread: &SpreadSettings, nodes: usize, zones: usize) {
     let mut driver = fleet(spread, nodes, zones);
-    // What is measured is a change of a service that exists.
+    // Creates the services, since the run measures changes of existing ones.
     let first = (0..SERVICES)
         .map(|it| change(&driver, 1, it))
         .collect::<Vec<_>>();
@@ -66,19 +66,19 @@
     settle(&mut driver, first);
     driver.run(30_000);
 
-    let (before, reads) = (sent(&driver), driver.reads + driver.polls);
+    let (before, reads) = (sent_bytes(&driver), driver.reads + driver.polls);
     driver.run(60_000);
-    let quiet = cost(&before, &sent(&driver));
+    let quiet = sent_between(&before, &sent_bytes(&driver));
     let reads = driver.reads + driver.polls - reads;
 
-    let before = sent(&driver);
+    let before = sent_bytes(&driver);
     let one = change(&driver, 2, 1);
     let token = driver.submit(0, &one);
     let one_ms = settle(&mut driver, vec![token]);
-    let one = cost(&before, &sent(&driver));
+    let one = sent_between(&before, &sent_bytes(&driver));
 
     driver.run(120_000);
-    let before = sent(&driver);
+    let before = sent_bytes(&driver);
     let started = driver.now;
     let mut tokens = Vec::new();
     for service in 0..SERVICES {
@@ -90,7 +90,7 @@
     }
     settle(&mut driver, tokens);
     let burst_ms = driver.now.since(started);
-    let burst = cost(&before, &sent(&driver));
+    let burst = sent_between(&before, &sent_bytes(&driver));
     let delayed: u64 = stats(&driver).map(|it| it.delayed).sum();
     println!(
         "{label:26}{one_ms:9}{:9.0}{:9}{burst_ms:9}{:9.0}{:9}{delayed:9}{:9.0}{:9}{:9.1}",
@@ -104,7 +104,7 @@
     );
 }
 
-/// A change of a service, with an id as random as operators' are.
+/// Returns a change of a service, with a random id.
 fn change(driver: &Driver, round: u64, service: u64) -> Submission {
     let id = hash64(&[&round.to_le_bytes(), &service.to_le_bytes()]);
     let name = format!("s{service}");
@@ -133,7 +133,7 @@
     driver
 }
 
-/// Lets time pass until every answer is there and every node holds the log in the table.
+/// Runs until every submission is answered and every node holds the table's log. Returns the time in ms.
 fn settle(driver: &mut Driver, tokens: Vec<Token>) -> u64 {
     let start = driver.now;
     loop {
@@ -147,7 +147,7 @@
     }
 }
 
-/// The newest revision in the table.
+/// Returns the newest revision of a service in the table.
 fn newest(driver: &Driver, service: &str) -> u64 {
     let entries = driver.entries();
     let mut changes = entries.iter().flat_map(|it| &it.batch.changes).rev();
@@ -159,12 +159,12 @@
     driver.kernels.iter().map(|it| it.state().spread.stats())
 }
 
-fn sent(driver: &Driver) -> Vec<u64> {
+fn sent_bytes(driver: &Driver) -> Vec<u64> {
     stats(driver).map(|it| it.sent.values().sum()).collect()
 }
 
-/// Mean and largest number of bytes that a node sent.
-fn cost(before: &[u64], after: &[u64]) -> (f64, u64) {
+/// Returns the mean and the largest number of bytes that a node sent.
+fn sent_between(before: &[u64], after: &[u64]) -> (f64, u64) {
     let each: Vec<u64> = after
         .iter()
         .zip(before)
