--- a/crates/kernel/tests/common/chaos.rs
+++ b/crates/kernel/tests/common/chaos.rs
@@ -1,4 +1,5 @@
-//! Whole kernels over one table in memory, with troubles on the way. One plan always gives the same run.
+//! Kernels over one table in memory, with random faults. The same seed and faults always give the
+//! same run.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -14,63 +15,65 @@
 
 use crate::{
     driver::{delete, name, put},
-    promises::Promises,
+    promises::Invariants,
 };
 
-/// Kernels of a run, and their zones, two regions in all.
+/// Zone of each kernel, in two regions.
 const ZONES: [&str; 6] = [
     "cairo-a", "cairo-b", "delta-a", "cairo-a", "cairo-b", "delta-a",
 ];
 
-/// Services that operators change.
+/// Number of services that operators change.
 const SERVICES: usize = 6;
 
-/// Ms between two ticks; two announcements of an upstream; the first change; the last trouble or change.
+/// Time between two ticks, time between two announcements of an upstream, start of changes and end
+/// of changes and faults, in ms.
 const TICK: u64 = 50;
 const HEARTBEAT: u64 = 1_000;
-const FIRST: u64 = 12_000;
-pub const CALM: u64 = 42_000;
+const CHANGES_START: u64 = 12_000;
+pub const FAULTS_END: u64 = 42_000;
 
-/// What goes wrong for a while. Where it strikes one thing of many, it is every second one on average.
+/// Kind of a fault. A fault that affects single messages or calls hits each with probability one
+/// half.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Messages and probes vanish.
+pub enum FaultKind {
+    /// Messages and probes are lost.
     Loss,
-    /// They arrive twice.
-    Doubling,
-    /// They arrive up to 1.5 s late, and so out of order.
+    /// Messages and probes arrive twice.
+    Duplication,
+    /// Messages and probes arrive up to 1.5 s late, and so out of order.
     Delay,
-    /// The platform answers nothing, or that its limit was reached.
+    /// The platform is unavailable or throttles.
     Outage,
-    /// The object store answers nothing.
-    Objects,
-    /// Commits are carried out and their answers lost.
+    /// The object store is unavailable.
+    ObjectOutage,
+    /// Commits are carried out and their answers are lost.
     LostAnswers,
-    /// Commits are given up and carried out up to 3 s later.
+    /// Commits are reported as unknown and carried out up to 3 s later.
     LateWrites,
-    /// Commits are lost, and nobody knows.
+    /// Commits are lost and reported as unknown.
     LostWrites,
-    /// Answers take up to 1.5 s.
+    /// Answers of the platform take up to 1.5 s.
     SlowTable,
     /// A node is cut off from all others.
     Isolated,
-    /// A process stands still; what arrives waits.
+    /// A process is paused; its events are queued.
     Paused,
-    /// A process is dead, and starts anew afterwards with nothing.
+    /// A process is killed, and restarts without state afterwards.
     Killed,
 }
 
-/// A trouble, when, and whose if it is one node's.
+/// A fault, the time for which it lasts, and the node that it affects if it affects one.
 #[derive(Clone, Copy, Debug)]
-pub struct Trouble {
-    pub kind: Kind,
+pub struct FaultWindow {
+    pub kind: FaultKind,
     pub from: u64,
     pub length: u64,
     pub node: usize,
 }
 
 enum Due {
-    /// An event for a node; an answer is for one life of its process only.
+    /// An event for a node; an answer is only for one generation of its process.
     Message(usize, Event),
     Answer(usize, u64, Event),
     Write(TableOp),
@@ -79,24 +82,24 @@
 #[derive(Default)]
 struct Node {
     kernel: Option<Kernel>,
-    life: u64,
+    generation: u64,
     view: Option<Arc<View>>,
-    waiting: Vec<Event>,
+    queued: Vec<Event>,
 }
 
-/// The kernels, the table, and what is on its way.
+/// The kernels, the table, and messages in flight.
 pub struct Fleet {
     now: Ms,
     start: Ms,
     nodes: Vec<Node>,
     table: Memory,
-    troubles: Vec<Trouble>,
+    faults: Vec<FaultWindow>,
     due: BTreeMap<(Ms, u64), Due>,
     count: u64,
     submissions: Vec<Submission>,
-    /// The id that each call in progress asks for, and the node and the life of its process.
+    /// Submission id, node and process generation of each pending call.
     calls: BTreeMap<Token, (SubmitId, usize, u64)>,
-    promises: Promises,
+    invariants: Invariants,
     rng: ChaCha8Rng,
 }
 
@@ -108,72 +111,76 @@
     usize::from(node.0.port() - 7200)
 }
 
-/// The service of the upstream beside a node.
+/// Returns the service of the upstream beside a node.
 fn service(node: usize) -> Name {
     name(&format!("s{}", node % 3))
 }
 
 impl Fleet {
-    /// All started; `seed` fixes what operators do and what each trouble strikes.
-    pub fn new(seed: u64, troubles: Vec<Trouble>) -> Fleet {
+    /// Starts all kernels; `seed` fixes the operators' changes and what each fault hits.
+    pub fn new(seed: u64, faults: Vec<FaultWindow>) -> Fleet {
         let start = Ms(1_000_000);
         let mut fleet = Fleet {
             now: start,
             start,
             nodes: ZONES.iter().map(|_| Node::default()).collect(),
             table: Memory::default(),
-            troubles,
+            faults,
             due: BTreeMap::new(),
             count: 0,
             submissions: Vec::new(),
             calls: BTreeMap::new(),
-            promises: Promises::new(ZONES.len()),
+            invariants: Invariants::new(ZONES.len()),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
-        (0..ZONES.len()).for_each(|it| fleet.begin(it));
+        (0..ZONES.len()).for_each(|it| fleet.start_kernel(it));
         fleet
     }
 
-    /// Runs through all troubles, then until everything is whole again; panics on a broken promise.
+    /// Runs until all faults have ended and the fleet is consistent again. Panics if an invariant
+    /// is violated.
     pub fn run(&mut self, newer: Option<u64>, bound: u64) {
-        while self.passed() < CALM {
+        while self.elapsed() < FAULTS_END {
             self.tick();
-            if self.passed() >= FIRST && self.rng.random_range(0..100) < 15 {
-                self.operate();
+            if self.elapsed() >= CHANGES_START && self.rng.random_range(0..100) < 15 {
+                self.submit_random();
             }
-            if newer.is_some_and(|at| at / TICK == self.passed() / TICK) {
-                self.promises.write_newer(&self.table, self.now);
+            if newer.is_some_and(|at| at / TICK == self.elapsed() / TICK) {
+                self.invariants.write_newer(&self.table, self.now);
             }
         }
-        self.troubles.clear();
-        while let Some(lacking) = self.lacking() {
-            assert!(self.passed() < CALM + bound, "after {bound} ms: {lacking}");
+        self.faults.clear();
+        while let Some(inconsistency) = self.inconsistency() {
+            assert!(
+                self.elapsed() < FAULTS_END + bound,
+                "after {bound} ms: {inconsistency}"
+            );
             self.tick();
         }
-        self.promises.finish(&self.table);
+        self.invariants.finish(&self.table);
     }
 
-    fn passed(&self) -> u64 {
+    fn elapsed(&self) -> u64 {
         self.now.since(self.start)
     }
 
-    fn active(&self, kind: Kind) -> bool {
-        self.troubles
+    fn is_active(&self, kind: FaultKind) -> bool {
+        self.faults
             .iter()
-            .any(|it| it.kind == kind && self.lasts(it))
+            .any(|it| it.kind == kind && self.is_current(it))
     }
 
-    fn strikes(&mut self, kind: Kind) -> bool {
-        self.active(kind) && self.rng.random()
+    fn hits(&mut self, kind: FaultKind) -> bool {
+        self.is_active(kind) && self.rng.random()
     }
 
-    fn affects(&self, kind: Kind, node: usize) -> bool {
-        let mut own = self.troubles.iter().filter(|it| it.node == node);
-        own.any(|it| it.kind == kind && self.lasts(it))
+    fn affects(&self, kind: FaultKind, node: usize) -> bool {
+        let mut own = self.faults.iter().filter(|it| it.node == node);
+        own.any(|it| it.kind == kind && self.is_current(it))
     }
 
-    fn lasts(&self, it: &Trouble) -> bool {
-        (it.from..it.from + it.length).contains(&self.passed())
+    fn is_current(&self, it: &FaultWindow) -> bool {
+        (it.from..it.from + it.length).contains(&self.elapsed())
     }
 
     fn tick(&mut self) {
@@ -183,7 +190,9 @@
             self.now = self.now.max(at);
             match due {
                 Due::Message(node, event) => self.step(node, event),
-                Due::Answer(node, life, event) if self.nodes[node].life == life => {
+                Due::Answer(node, generation, event)
+                    if self.nodes[node].generation == generation =>
+                {
                     self.step(node, event);
                 }
                 Due::Answer(..) => {}
@@ -192,9 +201,9 @@
         }
         self.now = next;
         for node in 0..self.nodes.len() {
-            self.wake(node);
+            self.update_process(node);
             self.step(node, Event::Tick);
-            if self.passed().is_multiple_of(HEARTBEAT) {
+            if self.elapsed().is_multiple_of(HEARTBEAT) {
                 let slots = 8;
                 let service = service(node);
                 let announced = UpstreamEvent::Announced { service, slots };
@@ -204,28 +213,29 @@
         }
     }
 
-    /// Ends, starts or continues a process as its troubles say.
-    fn wake(&mut self, node: usize) {
+    /// Kills, starts or resumes a process as its faults require.
+    fn update_process(&mut self, node: usize) {
         let running = self.nodes[node].kernel.is_some();
-        match (running, self.affects(Kind::Killed, node)) {
+        match (running, self.affects(FaultKind::Killed, node)) {
             (true, true) => {
                 self.nodes[node].kernel = None;
-                self.nodes[node].waiting.clear();
-                self.nodes[node].life += 1;
-                let life = self.nodes[node].life;
-                self.calls.retain(|_, it| it.1 != node || it.2 == life);
+                self.nodes[node].queued.clear();
+                self.nodes[node].generation += 1;
+                let generation = self.nodes[node].generation;
+                self.calls
+                    .retain(|_, it| it.1 != node || it.2 == generation);
             }
-            (false, false) => self.begin(node),
+            (false, false) => self.start_kernel(node),
             _ => {}
         }
-        if !self.affects(Kind::Paused, node) {
-            for event in std::mem::take(&mut self.nodes[node].waiting) {
+        if !self.affects(FaultKind::Paused, node) {
+            for event in std::mem::take(&mut self.nodes[node].queued) {
                 self.step(node, event);
             }
         }
     }
 
-    fn begin(&mut self, node: usize) {
+    fn start_kernel(&mut self, node: usize) {
         let others = (0..ZONES.len()).filter(|it| *it != node);
         let zone = ZONES[node];
         let settings = Settings {
@@ -243,10 +253,10 @@
     }
 
     fn step(&mut self, node: usize, event: Event) {
-        if self.affects(Kind::Paused, node) {
-            // Time that passes meanwhile is told by one tick.
+        if self.affects(FaultKind::Paused, node) {
+            // Ticks during a pause are dropped; the first one after it covers the time.
             if self.nodes[node].kernel.is_some() && !matches!(event, Event::Tick) {
-                self.nodes[node].waiting.push(event);
+                self.nodes[node].queued.push(event);
             }
             return;
         }
@@ -259,7 +269,8 @@
             self.act(node, action);
         }
         if let Some(kernel) = &self.nodes[node].kernel {
-            self.promises.stepped(node, self.nodes[node].life, kernel);
+            self.invariants
+                .check_step(node, self.nodes[node].generation, kernel);
         }
     }
 
@@ -268,26 +279,26 @@
         match action {
             Action::Send { to, message } => {
                 let event = Event::Message { from, message };
-                self.carry(node, number(to), event);
+                self.send(node, number(to), event);
             }
             Action::Probe { to, packet } => {
-                self.carry(node, number(to), Event::Probe { from, packet });
+                self.send(node, number(to), Event::Probe { from, packet });
             }
             Action::Table { call, op } => {
-                let answer = self.ask(&op);
-                self.answer(node, Event::Table { call, answer });
+                let answer = self.table_answer(&op);
+                self.send_answer(node, Event::Table { call, answer });
             }
             Action::Object { call, op } => {
-                let down = self.active(Kind::Outage) || self.strikes(Kind::Objects);
+                let down = self.is_active(FaultKind::Outage) || self.hits(FaultKind::ObjectOutage);
                 let answer = match down {
                     true => ObjectAnswer::Failed(Fault::Unavailable),
                     false => self.table.object_now(op),
                 };
-                self.answer(node, Event::Object { call, answer });
+                self.send_answer(node, Event::Object { call, answer });
             }
             Action::Publish(view) => {
                 let kernel = self.nodes[node].kernel.as_ref().expect("it runs");
-                self.promises.published(node, &view, kernel);
+                self.invariants.check_view(node, &view, kernel);
                 self.nodes[node].view = Some(view);
             }
             Action::Reply { token, reply } => self.replied(token, &reply),
@@ -295,13 +306,13 @@
         }
     }
 
-    fn carry(&mut self, from: usize, to: usize, event: Event) {
-        let cut = self.affects(Kind::Isolated, from) || self.affects(Kind::Isolated, to);
-        if cut || self.strikes(Kind::Loss) {
+    fn send(&mut self, from: usize, to: usize, event: Event) {
+        let cut = self.affects(FaultKind::Isolated, from) || self.affects(FaultKind::Isolated, to);
+        if cut || self.hits(FaultKind::Loss) {
             return;
         }
-        for _ in 0..1 + u32::from(self.strikes(Kind::Doubling)) {
-            let late = match self.strikes(Kind::Delay) {
+        for _ in 0..1 + u32::from(self.hits(FaultKind::Duplication)) {
+            let late = match self.hits(FaultKind::Delay) {
                 true => self.rng.random_range(0..1_500),
                 false => 0,
             };
@@ -309,33 +320,33 @@
         }
     }
 
-    fn answer(&mut self, node: usize, event: Event) {
-        let delay = match self.strikes(Kind::SlowTable) {
+    fn send_answer(&mut self, node: usize, event: Event) {
+        let delay = match self.hits(FaultKind::SlowTable) {
             true => self.rng.random_range(10..1_500),
             false => 10,
         };
-        let life = self.nodes[node].life;
-        self.after(delay, Due::Answer(node, life, event));
+        let generation = self.nodes[node].generation;
+        self.after(delay, Due::Answer(node, generation, event));
     }
 
-    fn ask(&mut self, op: &TableOp) -> TableAnswer {
-        if self.active(Kind::Outage) {
+    fn table_answer(&mut self, op: &TableOp) -> TableAnswer {
+        if self.is_active(FaultKind::Outage) {
             return TableAnswer::Failed(match self.rng.random_range(0..4) {
                 0 => Fault::Throttled { after: 300 },
                 _ => Fault::Unavailable,
             });
         }
         let commit = matches!(op, TableOp::Commit { .. });
-        if commit && self.strikes(Kind::LostWrites) {
+        if commit && self.hits(FaultKind::LostWrites) {
             return TableAnswer::Failed(Fault::Unknown);
         }
-        if commit && self.strikes(Kind::LateWrites) {
+        if commit && self.hits(FaultKind::LateWrites) {
             let delay = self.rng.random_range(1..3_000);
             self.after(delay, Due::Write(op.clone()));
             return TableAnswer::Failed(Fault::Unknown);
         }
         let answer = self.carry_out(op);
-        match commit && self.strikes(Kind::LostAnswers) {
+        match commit && self.hits(FaultKind::LostAnswers) {
             true => TableAnswer::Failed(Fault::Unknown),
             false => answer,
         }
@@ -344,7 +355,7 @@
     fn carry_out(&mut self, op: &TableOp) -> TableAnswer {
         let answer = self.table.table_now(op);
         if answer == TableAnswer::Committed {
-            self.promises.read(&self.table);
+            self.invariants.check_log(&self.table);
         }
         answer
     }
@@ -354,8 +365,8 @@
         self.due.insert((self.now + millis, self.count), due);
     }
 
-    /// An operator makes a change, two race, or one repeats what may already have been done.
-    fn operate(&mut self) {
+    /// Submits a new change, two conflicting ones, or a repeated one.
+    fn submit_random(&mut self) {
         let node = self.rng.random_range(0..ZONES.len());
         let other = self.rng.random_range(0..ZONES.len());
         let new = self.submission(node);
@@ -381,7 +392,7 @@
         }
     }
 
-    /// A change as somebody makes it who reads `node`'s view.
+    /// Returns a change based on `node`'s view.
     fn submission(&mut self, node: usize) -> Submission {
         let id = 2 * self.submissions.len() as u128 + 2;
         let service = format!("s{}", self.rng.random_range(0..SERVICES));
@@ -410,9 +421,9 @@
         }
         self.count += 1;
         let token = Token(self.count);
-        let life = self.nodes[node].life;
-        self.calls.insert(token, (submission.id, node, life));
-        self.promises.submitted(submission.id);
+        let generation = self.nodes[node].generation;
+        self.calls.insert(token, (submission.id, node, generation));
+        self.invariants.record_submission(submission.id);
         let call = Call::Accept(accept::Call::Submit(submission));
         self.step(node, Event::Call { token, call });
     }
@@ -424,23 +435,24 @@
             panic!("a verdict expected, not {reply:?}");
         };
         if *verdict != (Verdict::Unknown { id }) {
-            self.promises.decided(id, verdict);
+            self.invariants.check_verdict(id, verdict);
         }
     }
 
-    /// What is not whole yet: a call, a node's view, its members or its configuration.
-    fn lacking(&self) -> Option<String> {
+    /// Returns what is not consistent yet: a pending call, a node's view, its members or its
+    /// configuration.
+    fn inconsistency(&self) -> Option<String> {
         if !self.calls.is_empty() {
             return Some(format!("unanswered calls {:?}", self.calls));
         }
         let nodes = self.nodes.iter().enumerate();
-        let mut lacking = nodes.filter_map(|(idx, it)| {
+        let mut inconsistency = nodes.filter_map(|(idx, it)| {
             let (kernel, view) = (it.kernel.as_ref()?, it.view.as_ref()?);
-            let why = self.promises.incomplete(kernel, view, ZONES.len())?;
+            let why = self.invariants.incomplete(kernel, view, ZONES.len())?;
             Some(format!("node {idx}: {why}"))
         });
         let running = self.nodes.iter().all(|it| it.view.is_some());
-        lacking
+        inconsistency
             .next()
             .or((!running).then(|| "a node is down".to_owned()))
     }
--- a/crates/kernel/tests/common/driver.rs
+++ b/crates/kernel/tests/common/driver.rs
@@ -1,5 +1,5 @@
-//! A few kernels over one table in memory. Faults of the table follow a script; one script always gives
-//! the same run.
+//! Kernels over one table in memory, with scripted faults. The same script always gives the same
+//! run.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -16,24 +16,24 @@
     platform::{ABSENT, Check, Fault, ObjectAnswer, ObjectOp, Row, TableAnswer, TableOp, Write},
 };
 
-/// What happens to a commit of the log.
+/// Result of a commit of the log.
 #[derive(Clone, Debug)]
 pub enum Mishap {
-    /// Nothing: it is carried out.
+    /// It is carried out.
     Fine,
-    /// It is not carried out, and the answer says so.
+    /// It is not carried out, and fails with this fault.
     Fails(Fault),
-    /// It is carried out and its answer is lost.
+    /// It is carried out, and its answer is lost.
     AnswerLost,
-    /// It is lost on the way.
+    /// It is lost, and reported as unknown.
     WriteLost,
-    /// It is reported lost at once, and arrives at the table this many ms later.
+    /// It is reported as unknown at once, and carried out this many ms later.
     WriteLate(u64),
-    /// It is carried out and answered this many ms later.
+    /// It is carried out, and answered this many ms later.
     Slow(u64),
 }
 
-/// What becomes of a message on its way.
+/// How a message is delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     Arrives,
@@ -44,11 +44,12 @@
     Late(u64),
 }
 
-/// Sees, and may change, every message from one kernel to another before it leaves.
+/// A hook that sees, and may change, every message between two kernels before it is sent.
 pub type Tap = Box<dyn FnMut(Ms, usize, usize, &mut Message) -> Fate>;
 
-/// Ms between two ticks, and from a question to its answer or a message to its arrival.
+/// Time between two ticks, in ms.
 const TICK: u64 = 50;
+/// Default delay of messages and platform answers, in ms.
 const DELAY: u64 = 2;
 
 enum Due {
@@ -56,56 +57,56 @@
     Write(TableOp),
 }
 
-/// The kernels, the table and what is on its way.
+/// The kernels, the table and the events in flight.
 pub struct Driver {
     pub now: Ms,
     pub kernels: Vec<Kernel>,
     pub rows: BTreeMap<String, Row>,
     pub objects: BTreeMap<String, Vec<u8>>,
-    /// What happens to the next commits of the log, first to last; [`Mishap::Fine`] afterwards.
+    /// Results of the next commits of the log, in order; [`Mishap::Fine`] afterwards.
     pub mishaps: VecDeque<Mishap>,
-    /// The table and the object store answer nothing.
+    /// Whether the table and the object store are unavailable.
     pub down: bool,
-    /// The object store alone answers nothing.
+    /// Whether the object store alone is unavailable.
     pub objects_down: bool,
-    /// Messages to these kernels vanish.
+    /// Kernels that receive no messages.
     pub deaf: BTreeSet<usize>,
-    /// These kernels do nothing any more.
+    /// Kernels that have stopped.
     pub dead: BTreeSet<usize>,
-    /// See [`Tap`]; none at first.
+    /// Hook for sent messages; none by default.
     pub tap: Option<Tap>,
-    /// Kernels that want the source to be asked whether it holds a newer version, if the test answers them itself.
+    /// Kernels that asked to check the source, if the test answers the checks itself.
     pub checks: Option<Vec<usize>>,
     pub replies: BTreeMap<Token, Vec<Reply>>,
     pub logs: Vec<(usize, &'static str, String)>,
-    /// Operations on the log, as a golden session shows them.
+    /// Operations on the log, for snapshots.
     pub session: Vec<String>,
-    /// Reads of the table other than of its head alone.
+    /// Number of reads of the table, reads of its head alone excluded.
     pub reads: usize,
-    /// Reads of the table's head alone: relays poll it.
+    /// Number of reads of the table's head alone, with which relays poll.
     pub polls: usize,
-    /// Commits of the log, whether or not their checks held.
+    /// Number of commits of the log, failed ones included.
     pub commits: usize,
-    /// Rows and bytes written.
+    /// Number of rows and bytes written.
     pub written: (usize, usize),
-    /// Ms from a question to the platform to its answer.
+    /// Delay of the platform's answers, in ms.
     pub delay: u64,
     due: BTreeMap<(Ms, u64), Due>,
     count: u64,
-    ticked: Ms,
+    last_tick: Ms,
 }
 
 pub fn name(text: &str) -> Name {
     text.parse().expect("a literal name is valid")
 }
 
-/// The address of the kernel at `index`.
+/// Returns the address of the kernel at `index`.
 pub fn node(index: usize) -> NodeId {
     NodeId(SocketAddr::from(([127, 0, 0, 1], 7200 + index as u16)))
 }
 
 impl Driver {
-    /// Kernels in these regions, started; every one knows the others.
+    /// Starts a kernel in each of `regions`, with those before it as its peers.
     pub fn new(regions: &[&str]) -> Driver {
         let mut driver = Driver {
             now: Ms(1_000_000),
@@ -129,7 +130,7 @@
             delay: DELAY,
             due: BTreeMap::new(),
             count: 0,
-            ticked: Ms(1_000_000),
+            last_tick: Ms(1_000_000),
         };
         for region in regions {
             driver.add(region);
@@ -137,7 +138,7 @@
         driver
     }
 
-    /// Starts one more kernel.
+    /// Starts another kernel.
     pub fn add(&mut self, region: &str) -> usize {
         let index = self.kernels.len();
         let settings = Settings {
@@ -150,7 +151,7 @@
         self.add_with(settings)
     }
 
-    /// Starts one more kernel with these settings.
+    /// Starts another kernel with these settings.
     pub fn add_with(&mut self, settings: Settings) -> usize {
         let index = self.kernels.len();
         self.kernels.push(Kernel::new(settings, index as u64 + 1));
@@ -158,7 +159,7 @@
         index
     }
 
-    /// Ends a kernel's process and starts it anew: it holds nothing.
+    /// Restarts a kernel without its state.
     pub fn restart(&mut self, index: usize) {
         let others = (0..self.kernels.len()).filter(|it| *it != index);
         let settings = Settings {
@@ -171,12 +172,12 @@
         self.step(index, Event::Start);
     }
 
-    /// Feeds one event to a kernel.
+    /// Passes an event to a kernel.
     pub fn event(&mut self, index: usize, event: Event) {
         self.step(index, event);
     }
 
-    /// Asks a kernel.
+    /// Makes a call to a kernel.
     pub fn call(&mut self, index: usize, call: accept::Call) -> Token {
         self.count += 1;
         let token = Token(self.count);
@@ -189,7 +190,7 @@
         self.call(index, accept::Call::Submit(submission.clone()))
     }
 
-    /// Asks a kernel and lets up to 10 s pass until it answers.
+    /// Makes a call to a kernel and runs for up to 10 s until it is answered.
     pub fn ask(&mut self, index: usize, call: accept::Call) -> accept::Reply {
         let token = self.call(index, call);
         for _ in 0..100 {
@@ -201,7 +202,7 @@
         self.reply(token)
     }
 
-    /// The one answer to `token`.
+    /// Returns the reply to `token`. Panics unless there is exactly one.
     pub fn reply(&self, token: Token) -> accept::Reply {
         match self.replies.get(&token).map(Vec::as_slice) {
             Some([Reply::Accept(reply)]) => reply.clone(),
@@ -216,14 +217,14 @@
         }
     }
 
-    /// Lets `millis` pass.
+    /// Runs for `millis` ms.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         loop {
-            let tick = self.ticked + TICK;
+            let tick = self.last_tick + TICK;
             let next = self.due.first_key_value().map(|it| *it.0);
             match next {
-                Some(key) if key.0 <= tick.min(end) => self.arrive(key),
+                Some(key) if key.0 <= tick.min(end) => self.process_due(key),
                 _ if tick <= end => self.tick(tick),
                 _ => break,
             }
@@ -231,7 +232,7 @@
         self.now = end;
     }
 
-    /// The log in the table. Panics if an entry is missing or misplaced.
+    /// Returns the log in the table. Panics if an entry is missing or misplaced.
     pub fn entries(&self) -> Vec<Entry> {
         let log = self.rows.range("log/".to_owned().."log0".to_owned());
         let entries: Vec<Entry> = log
@@ -242,7 +243,7 @@
         entries
     }
 
-    /// How often the log holds `id`.
+    /// Returns how often the log holds `id`.
     pub fn applied(&self, id: SubmitId) -> usize {
         let entries = self.entries();
         let changes = entries.iter().flat_map(|it| &it.batch.changes);
@@ -251,13 +252,13 @@
 
     fn tick(&mut self, tick: Ms) {
         self.now = tick;
-        self.ticked = tick;
+        self.last_tick = tick;
         for index in 0..self.kernels.len() {
             self.step(index, Event::Tick);
         }
     }
 
-    fn arrive(&mut self, key: (Ms, u64)) {
+    fn process_due(&mut self, key: (Ms, u64)) {
         self.now = self.now.max(key.0);
         match self.due.remove(&key) {
             Some(Due::Event(index, event)) => self.step(index, event),
@@ -268,7 +269,7 @@
         }
     }
 
-    fn after(&mut self, millis: u64, due: Due) {
+    fn schedule(&mut self, millis: u64, due: Due) {
         self.count += 1;
         self.due.insert((self.now + millis, self.count), due);
     }
@@ -293,16 +294,16 @@
             }
             Action::Table { call, op } => {
                 let (answer, delay) = self.table(index, &op);
-                self.after(delay, Due::Event(index, Event::Table { call, answer }));
+                self.schedule(delay, Due::Event(index, Event::Table { call, answer }));
             }
             Action::Object { call, op } => {
                 let answer = self.object(op);
-                self.after(
+                self.schedule(
                     self.delay,
                     Due::Event(index, Event::Object { call, answer }),
                 );
             }
-            Action::CheckSource => self.check(index),
+            Action::CheckSource => self.check_source(index),
             Action::Reply { token, reply } => self.replies.entry(token).or_default().push(reply),
             Action::Log { event, pairs } => {
                 let pairs = pairs.iter().map(|(key, value)| format!("{key}={value:?}"));
@@ -313,8 +314,8 @@
         }
     }
 
-    /// A source that answers has nothing newer than the kernel holds, unless the test says otherwise.
-    fn check(&mut self, index: usize) {
+    /// Confirms the version that the kernel holds, unless the test answers checks itself.
+    fn check_source(&mut self, index: usize) {
         if let Some(checks) = &mut self.checks {
             return checks.push(index);
         }
@@ -323,7 +324,7 @@
             version,
             age: DELAY,
         };
-        self.after(DELAY, Due::Event(index, confirmed));
+        self.schedule(DELAY, Due::Event(index, confirmed));
     }
 
     fn send(&mut self, index: usize, to: NodeId, mut message: Message) {
@@ -337,7 +338,7 @@
         match (fate, receiver) {
             (Fate::Lost, _) => {}
             (Fate::Late(millis), Some(it)) if !self.deaf.contains(&it) => {
-                self.after(DELAY + millis, Due::Event(it, event));
+                self.schedule(DELAY + millis, Due::Event(it, event));
             }
             (Fate::Doubled, _) => {
                 self.deliver(to, event.clone());
@@ -350,13 +351,13 @@
     fn deliver(&mut self, to: NodeId, event: Event) {
         let index = (0..self.kernels.len()).find(|it| node(*it) == to);
         if let Some(index) = index.filter(|it| !self.deaf.contains(it)) {
-            self.after(DELAY, Due::Event(index, event));
+            self.schedule(DELAY, Due::Event(index, event));
         }
     }
 
-    /// The answer, and how long it takes.
+    /// Returns the answer and its delay.
     fn table(&mut self, index: usize, op: &TableOp) -> (TableAnswer, u64) {
-        let shown = show(op);
+        let shown = describe_op(op);
         let mishap = match shown {
             Some(_) if self.down => None,
             Some(_) if matches!(op, TableOp::Commit { .. }) => self.mishaps.pop_front(),
@@ -373,12 +374,12 @@
             }
             Some(Mishap::WriteLost) => (TableAnswer::Failed(Fault::Unknown), self.delay),
             Some(Mishap::WriteLate(millis)) => {
-                self.after(millis, Due::Write(op.clone()));
+                self.schedule(millis, Due::Write(op.clone()));
                 (TableAnswer::Failed(Fault::Unknown), self.delay)
             }
         };
         if let Some(shown) = shown {
-            let (millis, answer) = (self.now.0 - 1_000_000, show_answer(&answer));
+            let (millis, answer) = (self.now.0 - 1_000_000, describe_answer(&answer));
             self.session
                 .push(format!("{millis:>6} ms  node {index}: {shown} -> {answer}"));
         }
@@ -477,8 +478,8 @@
     }
 }
 
-/// An operation on the log; nothing for the rows of other modules.
-fn show(op: &TableOp) -> Option<String> {
+/// Describes an operation on the log. Returns `None` for rows of other modules.
+fn describe_op(op: &TableOp) -> Option<String> {
     match op {
         TableOp::Scan { prefix, after, .. } if prefix == "log/" => {
             Some(format!("read the log after {after}"))
@@ -496,7 +497,7 @@
     }
 }
 
-fn show_answer(answer: &TableAnswer) -> String {
+fn describe_answer(answer: &TableAnswer) -> String {
     match answer {
         TableAnswer::Rows(rows) => format!("{} rows", rows.len()),
         TableAnswer::Committed => "committed".to_owned(),
@@ -505,7 +506,7 @@
     }
 }
 
-/// A document of `service` whose only route uses `uses`.
+/// Returns a document of `service` with one route that uses `uses`.
 pub fn document(service: &str, owner: &str, uses: &[&str]) -> String {
     format!(
         r#"schema = 1
--- a/crates/kernel/tests/common/fleet.rs
+++ b/crates/kernel/tests/common/fleet.rs
@@ -14,7 +14,7 @@
 
 pub const ZONES: [&str; 3] = ["cairo-a", "cairo-b", "delta-a"];
 
-/// `nodes` kernels, dealt out over the zones, and the time to get ready.
+/// Starts `nodes` kernels spread over the zones and runs until all are ready.
 pub fn fleet(nodes: usize, spread: &SpreadSettings) -> Driver {
     let mut driver = Driver::new(&[]);
     for index in 0..nodes {
@@ -54,7 +54,7 @@
         .collect()
 }
 
-/// The newest accepted revision of a service.
+/// Returns the newest accepted revision of a service.
 pub fn newest(driver: &Driver, service: &str) -> u64 {
     let entries = driver.entries();
     let mut changes = entries.iter().flat_map(|it| &it.batch.changes).rev();
@@ -62,7 +62,7 @@
     newest.map_or(0, |it| it.revision.0)
 }
 
-/// Submits and waits until it is accepted.
+/// Submits a change and runs until it is accepted.
 pub fn accept(driver: &mut Driver, index: usize, submission: &Submission) -> Seq {
     let token = driver.submit(index, submission);
     for _ in 0..200 {
@@ -77,7 +77,8 @@
     }
 }
 
-/// Lets time pass until every living kernel holds `seq`; no kernel may step back meanwhile.
+/// Runs until every living kernel holds `seq` and returns the time taken, in ms. Panics if a kernel
+/// moves back or it takes longer than `within` ms.
 pub fn converge(driver: &mut Driver, seq: Seq, within: u64) -> u64 {
     let start = driver.now;
     let mut before = seqs(driver);
--- a/crates/kernel/tests/common/imported.rs
+++ b/crates/kernel/tests/common/imported.rs
@@ -1,4 +1,4 @@
-//! Nodes whose configuration comes from an external source, and versions of it.
+//! Fleets that import their configuration, and versions of it.
 
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
 
 use super::driver::{Driver, name, node};
 
-/// A version with so many routes.
+/// Returns a version with `routes` routes.
 pub fn table(version: u64, routes: usize) -> Arc<Table> {
     let routes = (0..routes).map(|it| RouteSpec {
-        // Digits that do not compress away, as names of real routes do not.
+        // Pseudo-random digits, so that names compress no better than real ones.
         name: format!("r-{}", it * 2_654_435_761 % 1_000_003).into(),
         host: format!("h{}.example", it * 40_503 % 65_537).into(),
         prefix: format!("/p{}/", it * 69_069 % 1_000_033).into(),
@@ -38,9 +38,9 @@
     Arc::new(Table::new(spec).expect("a valid version"))
 }
 
-/// Nodes dealt out over `zones`, of which the first `watchers` watch the source and the others rely on them; with other random
-/// choices for each `seed`.
-pub fn watched_from(seed: u64, count: usize, watchers: usize, zones: &[&str]) -> Driver {
+/// Starts nodes spread over `zones`, of which the first `watchers` watch the source and the others
+/// subscribe to them. `seed` varies their random choices.
+pub fn imported_fleet(seed: u64, count: usize, watchers: usize, zones: &[&str]) -> Driver {
     let mut driver = Driver::new(&[]);
     driver.now = driver.now + seed;
     for index in 0..count {
--- a/crates/kernel/tests/common/mod.rs
+++ b/crates/kernel/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A seeded message queue between a few kernels, with faults on the way. No sockets, no threads: one
-//! seed and one script always give the same run.
+//! A simulated network between kernels, with faults. The same seed and script always give the same
+//! run.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -15,21 +15,21 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Ms between two ticks of each kernel.
+/// Time between two ticks of each kernel, in ms.
 const TICK: u64 = 50;
 
-/// Most bytes of a datagram's and of a message's body.
+/// Maximum length of the body of a datagram and of a message, in bytes.
 const DATAGRAM_MAX: usize = 1_192;
 const MESSAGE_MAX: usize = 60 * 1024;
 
-/// What happens on the way: some datagrams of a hundred are lost, or nothing at all arrives.
+/// State of a path: a percentage of datagrams is lost, or nothing arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Path {
     Lossy(u32),
     Cut,
 }
 
-/// Kernels and what is on its way between them.
+/// Kernels and the events in flight between them.
 pub struct Net {
     pub now: Ms,
     pub nodes: BTreeMap<NodeId, Kernel>,
@@ -39,22 +39,22 @@
     pub bytes: BTreeMap<NodeId, u64>,
     pub duplicate: u32,
     pub delay: u64,
-    /// Every packet sent, for tests that count what travels.
+    /// All datagrams sent.
     pub packets: Vec<(Ms, NodeId, NodeId, Packet)>,
     paths: BTreeMap<(NodeId, NodeId), Path>,
     paused: BTreeMap<NodeId, Vec<Event>>,
-    flying: BTreeMap<(Ms, u64), (NodeId, Event)>,
+    in_flight: BTreeMap<(Ms, u64), (NodeId, Event)>,
     sent: u64,
     rng: ChaCha8Rng,
 }
 
-/// The node with this number.
+/// Returns the id of the node with this number.
 pub fn id(number: usize) -> NodeId {
     let [hi, lo] = (number as u16).to_be_bytes();
     NodeId(SocketAddr::from(([10, 0, hi, lo], 7101)))
 }
 
-/// Settings of node `number` in `zone`, which starts by contacting node 0.
+/// Returns settings of node `number` in `zone`, whose first contact is node 0.
 pub fn settings(number: usize, zone: &str) -> Settings {
     Settings {
         node: id(number),
@@ -67,7 +67,7 @@
 }
 
 impl Net {
-    /// No node yet; `seed` fixes every random choice.
+    /// Creates a network without nodes; `seed` fixes every random choice.
     pub fn new(seed: u64) -> Net {
         Net {
             now: Ms(1_000_000),
@@ -81,13 +81,13 @@
             packets: Vec::new(),
             paths: BTreeMap::new(),
             paused: BTreeMap::new(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Node `idx` in `zones[idx]`, all joined and settled.
+    /// Starts node `idx` in `zones[idx]` for each zone, and runs until all have joined.
     pub fn settled(seed: u64, zones: &[&str]) -> Net {
         let mut net = Net::new(seed);
         for (number, zone) in zones.iter().enumerate() {
@@ -97,7 +97,7 @@
         net
     }
 
-    /// Starts a node, or starts it again.
+    /// Starts or restarts a node.
     pub fn start(&mut self, settings: Settings) {
         let node = settings.node;
         let seed = self.rng.random();
@@ -105,12 +105,12 @@
         self.step(node, Event::Start);
     }
 
-    /// The process dies without a word.
+    /// Kills a node's process.
     pub fn kill(&mut self, number: usize) {
         self.nodes.remove(&id(number));
     }
 
-    /// The process stands still until [`Net::resume`]; the kernel buffers what arrives.
+    /// Pauses a process until [`Net::resume`]; events that arrive meanwhile are queued.
     pub fn pause(&mut self, number: usize) {
         self.paused.insert(id(number), Vec::new());
     }
@@ -126,7 +126,7 @@
         self.paths.insert((id(from), id(to)), path);
     }
 
-    /// Cuts `group` off from all others, in both directions.
+    /// Partitions `group` from all other nodes, in both directions.
     pub fn cut(&mut self, group: &[usize]) {
         let inside = |it: &NodeId| group.iter().any(|number| id(*number) == *it);
         let all: Vec<NodeId> = self.nodes.keys().copied().collect();
@@ -141,12 +141,12 @@
         self.paths.clear();
     }
 
-    /// Lets `millis` pass.
+    /// Runs for `millis` ms.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
             let next = self.now + TICK;
-            while let Some(entry) = self.flying.first_entry() {
+            while let Some(entry) = self.in_flight.first_entry() {
                 if entry.key().0 > next {
                     break;
                 }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Feeds one event to a node.
+    /// Passes an event to a node.
     pub fn step(&mut self, node: NodeId, event: Event) {
         if let Some(waiting) = self.paused.get_mut(&node) {
             return waiting.push(event);
@@ -184,13 +184,13 @@
                 self.count(node, &message, MESSAGE_MAX);
                 if self.paths.get(&(node, to)) != Some(&Path::Cut) {
                     let from = node;
-                    self.fly(to, self.delay, Event::Message { from, message });
+                    self.schedule(to, self.delay, Event::Message { from, message });
                 }
             }
             Action::Probe { to, packet } => self.datagram(node, to, packet),
             Action::Table { call, op } => {
                 let answer = self.table.table_now(&op);
-                self.fly(node, 10, Event::Table { call, answer });
+                self.schedule(node, 10, Event::Table { call, answer });
             }
             Action::Log { event, pairs } => {
                 let text: Vec<String> = pairs.iter().map(|(k, v)| format!("{k}={v}")).collect();
@@ -221,20 +221,21 @@
         for _ in 0..1 + u32::from(self.rng.random_range(0..100) < self.duplicate) {
             let delay = self.rng.random_range(1..=self.delay);
             let packet = packet.clone();
-            self.fly(to, delay, Event::Probe { from, packet });
+            self.schedule(to, delay, Event::Probe { from, packet });
         }
     }
 
-    /// Adds up what `node` sent, with 28 bytes of headers and the link's 8, and checks its size.
+    /// Counts the bytes that `node` sent, with 28 bytes of packet headers and 8 of the link's, and
+    /// checks the length.
     fn count<T: serde::Serialize>(&mut self, node: NodeId, body: &T, max: usize) {
         let len = postcard::to_stdvec(body).expect("it encodes").len();
         assert!(len <= max, "{len} bytes in one frame");
         *self.bytes.entry(node).or_default() += len as u64 + 36;
     }
 
-    fn fly(&mut self, to: NodeId, delay: u64, event: Event) {
+    fn schedule(&mut self, to: NodeId, delay: u64, event: Event) {
         self.sent += 1;
         let key = (self.now + delay, self.sent);
-        self.flying.insert(key, (to, event));
+        self.in_flight.insert(key, (to, event));
     }
 }
--- a/crates/kernel/tests/common/promises.rs
+++ b/crates/kernel/tests/common/promises.rs
@@ -1,4 +1,4 @@
-//! What holds after every step, whatever went wrong.
+//! Invariants that are checked after every step of a run with faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,31 +11,31 @@
     platform::{ABSENT, Check, TableAnswer, TableOp, Write},
 };
 
-/// What an operator wrote of a service, and at which revision.
+/// Revision and text of each service.
 type Texts = BTreeMap<Name, (Revision, String)>;
 
-/// The service that a newer build writes, in a schema that this one cannot read.
-const NEWER: &str = "schema = 2\nservice = \"s5\"\nshape = { kind = \"mesh\" }\n";
+/// Document of a newer schema, which this build cannot read.
+const NEWER_TEXT: &str = "schema = 2\nservice = \"s5\"\nshape = { kind = \"mesh\" }\n";
 const NEWER_ID: SubmitId = SubmitId(u128::MAX);
 
-/// Everything promised so far.
-pub struct Promises {
+/// Log, verdicts and positions so far, against which each step is checked.
+pub struct Invariants {
     log: Vec<Batch>,
-    /// The configuration after each entry of the log, the empty one first.
+    /// Configuration after each entry of the log, starting with the empty one.
     prefixes: Vec<Texts>,
     applied: BTreeMap<SubmitId, Seq>,
     accepted: BTreeMap<SubmitId, Seq>,
-    /// How often each id was submitted, and those told that nothing was changed.
+    /// Number of submissions of each id, and the ids whose operator was told that nothing changed.
     submitted: BTreeMap<SubmitId, usize>,
     denied: BTreeSet<SubmitId>,
     ready: Vec<Seq>,
-    /// Life of each process and the position that it held last.
+    /// Generation of each process and its last position in the log.
     held: Vec<(u64, Seq)>,
 }
 
-impl Promises {
-    pub fn new(nodes: usize) -> Promises {
-        Promises {
+impl Invariants {
+    pub fn new(nodes: usize) -> Invariants {
+        Invariants {
             log: Vec::new(),
             prefixes: vec![Texts::new()],
             applied: BTreeMap::new(),
@@ -47,20 +47,21 @@
         }
     }
 
-    /// The table changed: its log only grows, and holds no submission twice nor one that was denied.
-    pub fn read(&mut self, table: &Memory) {
+    /// Checks that the log in the table only grows, and holds no submission twice and none that was
+    /// denied.
+    pub fn check_log(&mut self, table: &Memory) {
         let entries = entries(table);
         assert!(entries.len() >= self.log.len(), "the log became shorter");
         for (idx, entry) in entries.into_iter().enumerate() {
             assert_eq!(entry.batch.seq, Seq(idx as u64 + 1), "a gap in the log");
             match self.log.get(idx) {
                 Some(before) => assert_eq!(*before, entry.batch, "the log was rewritten"),
-                None => self.grow(entry.batch),
+                None => self.append(entry.batch),
             }
         }
     }
 
-    fn grow(&mut self, batch: Batch) {
+    fn append(&mut self, batch: Batch) {
         let mut texts = self.prefixes.last().expect("the empty one").clone();
         for it in &batch.changes {
             let before = self.applied.insert(it.id, batch.seq);
@@ -75,17 +76,18 @@
         self.log.push(batch);
     }
 
-    pub fn submitted(&mut self, id: SubmitId) {
+    pub fn record_submission(&mut self, id: SubmitId) {
         *self.submitted.entry(id).or_default() += 1;
     }
 
-    /// Of one that was submitted again, a denial holds only for the time it was given.
+    /// Returns whether the operator of `id` was told that nothing changed. Not if the submission
+    /// was repeated, since a repetition may be accepted after a denial.
     fn is_denied(&self, id: SubmitId) -> bool {
         self.denied.contains(&id) && self.submitted.get(&id) == Some(&1)
     }
 
-    /// A verdict other than `unknown`: the log shows it, now and for good.
-    pub fn decided(&mut self, id: SubmitId, verdict: &Verdict) {
+    /// Checks a verdict other than `unknown` against the log, now and later.
+    pub fn check_verdict(&mut self, id: SubmitId, verdict: &Verdict) {
         if let Verdict::Accepted { seq, revision } = verdict {
             assert_eq!(self.applied.get(&id), Some(seq), "{id:?} is not in the log");
             assert_eq!(revision.0, seq.0);
@@ -100,19 +102,19 @@
         );
     }
 
-    /// A process never moves back in the log, and never beyond it.
-    pub fn stepped(&mut self, node: usize, life: u64, kernel: &Kernel) {
-        let now = (life, kernel.state().log.seq());
+    /// Checks that a process never moves back in the log, nor past its end.
+    pub fn check_step(&mut self, node: usize, generation: u64, kernel: &Kernel) {
+        let now = (generation, kernel.state().log.seq());
         let before = std::mem::replace(&mut self.held[node], now);
         assert!(now >= before, "node {node} moved back: {before:?}, {now:?}");
         assert!(
             now.1.0 as usize <= self.log.len(),
-            "node {node} made up {now:?}"
+            "node {node} is past the log's end: {now:?}"
         );
     }
 
-    /// Checks a published view on its own and against the log.
-    pub fn published(&mut self, node: usize, view: &View, kernel: &Kernel) {
+    /// Checks a published view by itself and against the log.
+    pub fn check_view(&mut self, node: usize, view: &View, kernel: &Kernel) {
         if view.ready {
             let before = std::mem::replace(&mut self.ready[node], view.seq);
             assert!(
@@ -126,13 +128,14 @@
             let absent = uses.find(|it| !view.services.contains_key(*it));
             assert_eq!(absent, None, "node {node}: {name} routes to it");
         }
-        self.compare(node, view, kernel);
+        self.check_services(node, view, kernel);
     }
 
-    /// Every service is at its version of the log's prefix, or is held at an earlier one that was accepted.
-    fn compare(&self, node: usize, view: &View, kernel: &Kernel) {
+    /// Checks that each service is at its version in the log's prefix, or is held back at an
+    /// earlier accepted one.
+    fn check_services(&self, node: usize, view: &View, kernel: &Kernel) {
         let prefix = &self.prefixes[view.seq.0 as usize];
-        let newer = prefix.values().any(|it| it.1 == NEWER);
+        let newer = prefix.values().any(|it| it.1 == NEWER_TEXT);
         let held = kernel.state().log.held();
         assert!(
             newer || held.is_empty(),
@@ -140,7 +143,7 @@
         );
         for (name, it) in &view.services {
             assert_ne!(
-                &*it.text, NEWER,
+                &*it.text, NEWER_TEXT,
                 "node {node} put a version in force that it cannot read"
             );
             let shown = (it.revision, it.text.to_string());
@@ -163,7 +166,7 @@
         }
     }
 
-    /// What `kernel` and its view lack to be whole, now that nothing goes wrong.
+    /// Returns what `kernel` and its view lack to be consistent after all faults.
     pub fn incomplete(&self, kernel: &Kernel, view: &View, nodes: usize) -> Option<String> {
         let head = Seq(self.log.len() as u64);
         if !view.ready || view.seq != head {
@@ -180,7 +183,7 @@
         if reached != nodes {
             return Some(format!("{reached} members"));
         }
-        // Two upstreams a service; only the first three services have any.
+        // Each of the first three services has two upstreams, the others have none.
         let lacking = view.services.iter().find(|(name, it)| {
             let expected = if name.as_str() < "s3" { nodes / 3 } else { 0 };
             let ready = |it: &&laburnum_kernel::view::Endpoint| {
@@ -191,15 +194,15 @@
         lacking.map(|(name, it)| format!("{name} has {:?}", it.endpoints))
     }
 
-    /// Everything that was accepted is there.
+    /// Checks that every accepted change is in the log.
     pub fn finish(&mut self, table: &Memory) {
-        self.read(table);
+        self.check_log(table);
         for (id, seq) in &self.accepted {
             assert_eq!(self.applied.get(id), Some(seq), "{id:?} is lost");
         }
     }
 
-    /// A node of a newer build commits a document of a schema that nobody else can read.
+    /// Commits a document of a newer schema, as a node of a newer build would.
     pub fn write_newer(&mut self, table: &Memory, now: Ms) {
         let seq = Seq(self.log.len() as u64 + 1);
         let Some(before) = self.log.last() else {
@@ -213,7 +216,7 @@
             service,
             revision: Revision(seq.0),
             edit: Edit::Put {
-                text: NEWER.to_owned(),
+                text: NEWER_TEXT.to_owned(),
             },
             author: "newer".to_owned(),
             reason: "test".to_owned(),
@@ -242,7 +245,7 @@
             ],
         };
         assert_eq!(table.table_now(&op), TableAnswer::Committed);
-        self.read(table);
+        self.check_log(table);
     }
 }
 
--- a/crates/kernel/tests/common/source.rs
+++ b/crates/kernel/tests/common/source.rs
@@ -1,6 +1,7 @@
-//! A fleet and the store that its versions come from, which loses sight of hosts in every way that a store can.
+//! A fleet and the source of its versions, which can lose contact with hosts in several ways.
 //!
-//! It plays the watch that runs beside each kernel: a feed while the store answers, checks of it, reads after a loss.
+//! Simulates the watch beside each kernel: a feed while the source answers, checks of the feed, and
+//! reads after a loss.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -17,76 +18,76 @@
 
 use super::{
     driver::{Driver, Fate},
-    imported::{table, watched_from},
+    imported::{imported_fleet, table},
 };
 
-/// Time from a version's acknowledgement until it is in force at each host, in ms; the shortest that a deployment asks for.
+/// Longest time from a version's acknowledgement until it is in force on each host, in ms.
 pub const IN_FORCE_MS: u64 = 2_000;
-/// Time for which a host and the way to it must be undisturbed before it is held to that, in ms.
-pub const CONTACT_MS: u64 = 3_000;
-/// Routes of a version.
+/// How long a host is exempt from that limit after a fault, in ms.
+pub const RECOVERY_MS: u64 = 3_000;
+/// Number of routes of a version.
 const ROUTES: usize = 20;
-/// Time of a step, in ms.
+/// Duration of a simulation step, in ms.
 const STEP_MS: u64 = 10;
-/// Time of a read of the whole configuration, in ms.
+/// Duration of a read of the whole configuration, in ms.
 const READ_MS: u64 = 100;
-/// Time after which the watch gives a check up, in ms.
-const PATIENCE_MS: u64 = 1_000;
-/// Pause of a watch that the store refuses, in ms.
-const PAUSE_MS: u64 = 500;
+/// Timeout of a check, in ms.
+const CHECK_TIMEOUT_MS: u64 = 1_000;
+/// Pause before a watch retries after the source refused it, in ms.
+const RETRY_MS: u64 = 500;
 
-/// How the store treats a host.
+/// How the source responds to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum SourceMode {
     Serves,
-    /// It answers at once that it does not serve.
+    /// Refuses at once.
     Refuses,
-    /// It answers nothing any more, and sends nothing on feeds that are open.
+    /// Sends no more answers and nothing on open feeds.
     Silent,
 }
 
-/// What the watch of a host does.
+/// State of a host's watch.
 #[derive(Clone, Copy, Debug)]
-enum Watching {
-    /// Not charged with watching.
-    Rests,
-    /// Asks again or reads, and is through then if the store serves it.
-    Reads { until: Ms },
-    /// Holds a feed; a dead one brings nothing more.
-    Holds { dead: bool },
-    /// A check of it is on its way.
-    Checks { since: Ms, dead: bool },
+enum WatchState {
+    /// The host does not watch.
+    Idle,
+    /// A read or retry that ends at `until`, successfully if the source serves the host.
+    Reading { until: Ms },
+    /// A feed is open; a dead one delivers nothing more.
+    Open { dead: bool },
+    /// A check of the feed is in progress.
+    Checking { since: Ms, dead: bool },
 }
 
-/// The fleet.
+/// A simulated fleet.
 pub struct Fleet {
     pub driver: Driver,
-    pub ways: Vec<Way>,
-    /// Hosts whose messages to and from others are lost.
+    pub modes: Vec<SourceMode>,
+    /// Hosts cut off from all others.
     pub cut: Rc<RefCell<BTreeSet<usize>>>,
-    /// Messages between zones.
-    pub abroad: Rc<RefCell<usize>>,
-    watching: Vec<Watching>,
-    /// Hosts that were disturbed, and until when.
-    disturbed: BTreeMap<usize, Ms>,
+    /// Number of messages between zones.
+    pub cross_zone: Rc<RefCell<usize>>,
+    watches: Vec<WatchState>,
+    /// Hosts exempt from the time limit, and until when.
+    exempt_until: BTreeMap<usize, Ms>,
     newest: u64,
-    /// Versions and when each was acknowledged.
+    /// Versions and the time of their acknowledgement.
     acked: Vec<(u64, Ms)>,
-    /// Hosts that were behind, with the version they held and the one due.
-    pub behind: Vec<(Ms, usize, u64, u64)>,
-    /// Calls to the store.
+    /// Time, host, version held and version due of each violation of the time limit.
+    pub violations: Vec<(Ms, usize, u64, u64)>,
+    /// Number of calls to the source.
     pub calls: u64,
 }
 
 impl Fleet {
-    /// `count` hosts dealt out over `zones`; the first `watchers` have fast links.
+    /// Creates `count` hosts spread over `zones`; the first `watchers` watch the source.
     pub fn new(seed: u64, count: usize, watchers: usize, zones: &[&str]) -> Fleet {
-        let mut driver = watched_from(seed, count, watchers, zones);
+        let mut driver = imported_fleet(seed, count, watchers, zones);
         driver.checks = Some(Vec::new());
         let cut: Rc<RefCell<BTreeSet<usize>>> = Rc::default();
         let lost = cut.clone();
-        let abroad: Rc<RefCell<usize>> = Rc::default();
-        let (crossed, zones) = (abroad.clone(), zones.len());
+        let cross_zone: Rc<RefCell<usize>> = Rc::default();
+        let (crossed, zones) = (cross_zone.clone(), zones.len());
         driver.tap = Some(Box::new(move |_, from, to, message| {
             let import = matches!(message, Message::Import(_));
             *crossed.borrow_mut() += usize::from(import && from % zones != to % zones);
@@ -98,92 +99,92 @@
         }));
         Fleet {
             cut,
-            abroad,
+            cross_zone,
             driver,
-            ways: vec![Way::Serves; count],
-            watching: vec![Watching::Rests; count],
-            disturbed: BTreeMap::new(),
+            modes: vec![SourceMode::Serves; count],
+            watches: vec![WatchState::Idle; count],
+            exempt_until: BTreeMap::new(),
             newest: 1,
             acked: Vec::new(),
-            behind: Vec::new(),
+            violations: Vec::new(),
             calls: 0,
         }
     }
 
-    /// The store accepts a version: open feeds bring it at once.
+    /// Accepts a new version, which open feeds deliver at once.
     pub fn publish(&mut self) {
         self.newest += 1;
         self.acked.push((self.newest, self.driver.now));
-        for index in 0..self.ways.len() {
-            if let Watching::Holds { dead: false } | Watching::Checks { dead: false, .. } =
-                self.watching[index]
+        for index in 0..self.modes.len() {
+            if let WatchState::Open { dead: false } | WatchState::Checking { dead: false, .. } =
+                self.watches[index]
             {
-                self.give(index);
+                self.deliver_version(index);
             }
         }
     }
 
-    /// From now on the store treats a host so.
-    pub fn treat(&mut self, index: usize, way: Way) {
-        self.ways[index] = way;
-        if way == Way::Serves {
+    /// Sets how the source responds to a host.
+    pub fn set_mode(&mut self, index: usize, mode: SourceMode) {
+        self.modes[index] = mode;
+        if mode == SourceMode::Serves {
             return;
         }
-        match &mut self.watching[index] {
-            Watching::Holds { dead } | Watching::Checks { dead, .. } => *dead = true,
-            Watching::Rests | Watching::Reads { .. } => {}
+        match &mut self.watches[index] {
+            WatchState::Open { dead } | WatchState::Checking { dead, .. } => *dead = true,
+            WatchState::Idle | WatchState::Reading { .. } => {}
         }
-        if way == Way::Refuses {
-            self.lose(index);
+        if mode == SourceMode::Refuses {
+            self.lose_source(index);
         }
     }
 
-    /// A host stands still until it is resumed.
+    /// Pauses a host until it is resumed.
     pub fn pause(&mut self, index: usize) {
         self.driver.dead.insert(index);
-        self.disturb(index, u64::MAX / 2);
+        self.exempt(index, u64::MAX / 2);
     }
 
     pub fn resume(&mut self, index: usize) {
         self.driver.dead.remove(&index);
-        self.disturb(index, CONTACT_MS);
-        // What its feed brought meanwhile waited for it.
-        if let Watching::Holds { dead: false } | Watching::Checks { dead: false, .. } =
-            self.watching[index]
+        self.exempt(index, RECOVERY_MS);
+        // The feed's queued versions arrive now.
+        if let WatchState::Open { dead: false } | WatchState::Checking { dead: false, .. } =
+            self.watches[index]
         {
-            self.give(index);
+            self.deliver_version(index);
         }
     }
 
-    /// A host's process ends and starts anew.
+    /// Restarts a host's process.
     pub fn restart(&mut self, index: usize) {
         self.driver.restart(index);
-        self.watching[index] = Watching::Rests;
-        self.disturb(index, CONTACT_MS);
+        self.watches[index] = WatchState::Idle;
+        self.exempt(index, RECOVERY_MS);
     }
 
-    /// Holds a host to nothing for `millis`.
-    pub fn disturb(&mut self, index: usize, millis: u64) {
-        self.disturbed.insert(index, self.driver.now + millis);
+    /// Exempts a host from the time limit for `millis` ms.
+    pub fn exempt(&mut self, index: usize, millis: u64) {
+        self.exempt_until.insert(index, self.driver.now + millis);
     }
 
-    /// Lets `millis` pass and notes who is behind.
+    /// Runs the simulation for `millis` ms and records violations.
     pub fn run(&mut self, millis: u64) {
         for _ in 0..millis / STEP_MS {
             self.driver.run(STEP_MS);
             for index in self.driver.checks.iter_mut().flat_map(std::mem::take) {
-                if let Watching::Holds { dead } = self.watching[index] {
+                if let WatchState::Open { dead } = self.watches[index] {
                     self.calls += 1;
                     let since = self.driver.now;
-                    self.watching[index] = Watching::Checks { since, dead };
+                    self.watches[index] = WatchState::Checking { since, dead };
                 }
             }
-            for index in 0..self.ways.len() {
+            for index in 0..self.modes.len() {
                 if !self.driver.dead.contains(&index) {
                     self.watch(index);
                 }
             }
-            self.check();
+            self.record_violations();
         }
     }
 
@@ -194,43 +195,43 @@
     fn watch(&mut self, index: usize) {
         let now = self.driver.now;
         let follows = self.driver.kernels[index].state().import.turn() == Turn::Follow;
-        let way = self.ways[index];
-        let next = match self.watching[index] {
-            _ if !follows => Watching::Rests,
-            Watching::Rests => {
+        let mode = self.modes[index];
+        let next = match self.watches[index] {
+            _ if !follows => WatchState::Idle,
+            WatchState::Idle => {
                 self.calls += 1;
-                Watching::Reads {
+                WatchState::Reading {
                     until: now + READ_MS,
                 }
             }
-            Watching::Reads { until } if now < until => return,
-            Watching::Reads { .. } if way == Way::Serves => {
+            WatchState::Reading { until } if now < until => return,
+            WatchState::Reading { .. } if mode == SourceMode::Serves => {
                 self.driver.event(index, Event::Source(Source::Held));
-                self.give(index);
-                Watching::Holds { dead: false }
+                self.deliver_version(index);
+                WatchState::Open { dead: false }
             }
-            Watching::Reads { .. } => {
+            WatchState::Reading { .. } => {
                 self.calls += 1;
-                Watching::Reads {
-                    until: now + PAUSE_MS,
+                WatchState::Reading {
+                    until: now + RETRY_MS,
                 }
             }
-            Watching::Holds { .. } => return,
-            Watching::Checks { dead, .. } if way == Way::Serves => {
-                // A feed that died brings nothing; the check does.
+            WatchState::Open { .. } => return,
+            WatchState::Checking { dead, .. } if mode == SourceMode::Serves => {
+                // A dead feed delivers nothing, but the check does.
                 match dead {
-                    true => self.give(index),
+                    true => self.deliver_version(index),
                     false => self.confirm(index),
                 }
-                Watching::Holds { dead: false }
+                WatchState::Open { dead: false }
             }
-            Watching::Checks { since, .. } if now.since(since) < PATIENCE_MS => return,
-            Watching::Checks { .. } => return self.lose(index),
+            WatchState::Checking { since, .. } if now.since(since) < CHECK_TIMEOUT_MS => return,
+            WatchState::Checking { .. } => return self.lose_source(index),
         };
-        self.watching[index] = next;
+        self.watches[index] = next;
     }
 
-    fn give(&mut self, index: usize) {
+    fn deliver_version(&mut self, index: usize) {
         self.driver
             .event(index, Event::Imported(table(self.newest, ROUTES)));
     }
@@ -243,17 +244,17 @@
         self.driver.event(index, confirmed);
     }
 
-    fn lose(&mut self, index: usize) {
-        if matches!(self.watching[index], Watching::Rests) {
+    fn lose_source(&mut self, index: usize) {
+        if matches!(self.watches[index], WatchState::Idle) {
             return;
         }
         self.driver.event(index, Event::Source(Source::Lost));
-        self.watching[index] = Watching::Reads {
-            until: self.driver.now + PAUSE_MS,
+        self.watches[index] = WatchState::Reading {
+            until: self.driver.now + RETRY_MS,
         };
     }
 
-    fn check(&mut self) {
+    fn record_violations(&mut self) {
         let now = self.driver.now;
         let due = self
             .acked
@@ -262,20 +263,20 @@
         let Some((due, _)) = due.copied() else {
             return;
         };
-        for index in 0..self.ways.len() {
-            let calm = self.disturbed.get(&index).is_none_or(|it| *it <= now);
+        for index in 0..self.modes.len() {
+            let in_scope = self.exempt_until.get(&index).is_none_or(|it| *it <= now);
             let held = self.version(index);
-            // One that holds none yet is not ready, and tells callers to come back.
-            if calm && held > 0 && held < due {
-                self.behind.push((now, index, held, due));
+            // A host without a version is not ready and rejects requests.
+            if in_scope && held > 0 && held < due {
+                self.violations.push((now, index, held, due));
             }
         }
     }
 
-    /// Each host that was ever behind, with the version held and the one due when it first was.
+    /// Returns the version held and the version due at the first violation of each host.
     pub fn late(&self) -> BTreeMap<usize, (u64, u64)> {
         let mut late = BTreeMap::new();
-        for (_, index, held, due) in &self.behind {
+        for (_, index, held, due) in &self.violations {
             late.entry(*index).or_insert((*held, *due));
         }
         late
--- a/crates/kernel/tests/common/views.rs
+++ b/crates/kernel/tests/common/views.rs
@@ -1,4 +1,4 @@
-//! What the kernels of a [`Net`] hold of one another.
+//! Membership as seen by the kernels of a [`Net`].
 
 use std::collections::BTreeSet;
 
@@ -10,12 +10,12 @@
 use super::{Net, id};
 
 impl Net {
-    /// The kernel of a node.
+    /// Returns the kernel of a node.
     pub fn node(&self, number: usize) -> &Kernel {
         &self.nodes[&id(number)]
     }
 
-    /// What `viewer` holds of `subject`.
+    /// Returns the record of `subject` that `viewer` holds.
     pub fn record(&self, viewer: usize, subject: usize) -> Option<&Record> {
         self.held(id(viewer), id(subject))
     }
@@ -24,7 +24,8 @@
         self.node(viewer).state().members.reach(id(subject))
     }
 
-    /// The phase that each running node but `subject` holds of it; `None` where it is no member.
+    /// Returns the phases of `subject` that the other running nodes hold; `None` for a node that
+    /// doesn't list it.
     pub fn phases(&self, subject: usize) -> BTreeSet<Option<Phase>> {
         let viewers = self.nodes.keys().filter(|it| **it != id(subject));
         viewers
@@ -37,7 +38,7 @@
         alive.find(|it| it.id == subject)
     }
 
-    /// Whether every running node holds every running node as reachable and nobody else.
+    /// Returns whether every running node holds exactly the running nodes, all as reachable.
     pub fn converged(&self) -> bool {
         let running: BTreeSet<NodeId> = self.nodes.keys().copied().collect();
         let roots: BTreeSet<u64> = (self.nodes.values())
@@ -56,7 +57,8 @@
 }
 
 impl Net {
-    /// Pairs of running nodes that miss each other, and dead ones that somebody takes for reachable.
+    /// Returns the pairs of viewer and subject in which a running node is missed or a dead one not
+    /// held as unreachable.
     pub fn stuck(&self) -> Vec<(NodeId, NodeId)> {
         let mut stuck = Vec::new();
         for (viewer, kernel) in &self.nodes {
--- a/crates/kernel/tests/import.rs
+++ b/crates/kernel/tests/import.rs
@@ -1,4 +1,4 @@
-//! Versions of an external source: taken over, passed on, never taken back.
+//! Imported versions: application, propagation between nodes, readiness and take-over by standbys.
 
 #[path = "common/driver.rs"]
 mod driver;
@@ -17,29 +17,28 @@
 use test_case::test_case;
 
 use driver::{Driver, Fate, name, node};
-use imported::{table, watched_from};
+use imported::{imported_fleet, table};
 
 const ZONES: [&str; 3] = ["nasr", "maadi", "giza"];
 const FIVE_ZONES: [&str; 5] = ["nasr", "maadi", "giza", "heliopolis", "shubra"];
 
-/// Nodes of one zone that all watch the source.
+/// Starts nodes of one zone that all watch the source.
 fn fleet(count: usize) -> Driver {
-    watched(count, count, &ZONES[..1])
+    fleet_with_watchers(count, count, &ZONES[..1])
 }
 
-/// Nodes dealt out over `zones`, of which the first `watchers` watch the source and the others rely on them.
-fn watched(count: usize, watchers: usize, zones: &[&str]) -> Driver {
-    watched_from(0, count, watchers, zones)
+/// Starts nodes spread over `zones`, of which the first `watchers` watch the source.
+fn fleet_with_watchers(count: usize, watchers: usize, zones: &[&str]) -> Driver {
+    imported_fleet(0, count, watchers, zones)
 }
 
 fn version(driver: &Driver, index: usize) -> u64 {
     driver.kernels[index].state().import.table().version()
 }
 
-/// The store turns one node away and serves the others. That node's callers would be handled by an old version for
-/// as long as it lasts. It asks its peers instead, four times a second.
+/// Guards against a node that the source rejects serving an old version.
 #[test]
-fn node_without_the_source_learns_from_its_peers() {
+fn node_without_source_gets_versions_from_peers() {
     let mut driver = fleet(4);
     driver.run(2_000);
     driver.event(3, Event::Source(Source::Lost));
@@ -51,10 +50,9 @@
     assert_eq!(version(&driver, 3), 5);
 }
 
-/// A watch that hangs without an error, on a connection that went silent, does not keep a node behind: it compares
-/// with a peer every two seconds also while the source seems to answer.
+/// Guards against a node whose watch hangs without an error staying behind.
 #[test]
-fn node_whose_watch_hangs_learns_from_its_peers() {
+fn node_with_hung_watch_gets_versions_from_peers() {
     let mut driver = fleet(3);
     for index in 0..3 {
         driver.event(index, Event::Source(Source::Held));
@@ -67,10 +65,10 @@
     assert_eq!(version(&driver, 2), 9);
 }
 
-/// A read that the source answers from an old copy, or a peer's late message, must not bring an old route back into
-/// force after callers have seen the new one.
+/// Guards against an old copy of the source or a late message bringing an old version back into
+/// force.
 #[test]
-fn older_version_is_never_taken_over() {
+fn older_version_is_never_applied() {
     let mut driver = fleet(1);
     driver.event(0, Event::Imported(table(9, 10)));
     driver.event(0, Event::Imported(table(8, 10)));
@@ -80,9 +78,9 @@
     assert_eq!(applied.count(), 1);
 }
 
-/// A configuration of thousands of routes is longer than one message: it travels in parts and is taken over whole.
+/// A version longer than one message is sent in parts and applied whole.
 #[test]
-fn long_version_travels_in_parts() {
+fn long_version_is_sent_in_parts() {
     let mut driver = fleet(2);
     let long = table(5, 8_000);
     driver.event(0, Event::Source(Source::Held));
@@ -108,7 +106,7 @@
     driver.kernels[index].state().import.ready()
 }
 
-/// A node that serves before it holds a version would answer that there is no route.
+/// Guards against a node without a version answering that there is no route.
 #[test]
 fn node_without_a_version_is_not_ready() {
     let mut driver = fleet(2);
@@ -120,10 +118,9 @@
     assert!(ready(&driver, 0));
 }
 
-/// A new host's node reads the configuration before any peer has told it who is there. Ready by then, it refused each
-/// request of its callers for want of an endpoint, though the fleet had many.
+/// Guards against a new node rejecting requests because it knows no endpoints yet.
 #[test]
-fn node_that_knows_no_endpoint_yet_is_not_ready() {
+fn node_without_endpoints_is_not_ready() {
     let mut driver = fleet(2);
     announce(&mut driver, 0);
     driver.run(1_000);
@@ -135,22 +132,22 @@
         ..Settings::default()
     });
     driver.event(late, Event::Imported(table(5, 10)));
-    assert!(!ready(&driver, late), "nobody has told it anything");
+    assert!(!ready(&driver, late), "it knows no endpoint yet");
     driver.run(500);
     assert!(ready(&driver, late));
     let view = view::build(driver.kernels[late].state(), Origin::Imported);
     assert_eq!(view.services[&name("desk")].endpoints.len(), 1);
 }
 
-/// All hosts restart at once, and a node reads the source before any peer is up. Its question to a peer, without which it is not
-/// ready, was due again two seconds later, and its callers were refused all the while.
+/// Guards against a node that read the source before any peer was up staying not ready until its
+/// next regular query.
 #[test]
-fn node_that_read_the_source_first_is_ready_soon_after_it_finds_a_peer() {
+fn first_peer_makes_early_reader_ready() {
     let mut driver = fleet(1);
     driver.event(0, Event::Source(Source::Held));
     driver.event(0, Event::Imported(table(5, 10)));
     driver.run(500);
-    assert!(!ready(&driver, 0), "nobody has answered yet");
+    assert!(!ready(&driver, 0), "no peer has answered yet");
     let late = driver.add_with(Settings {
         node: node(1),
         incarnation: driver.now.0,
@@ -159,14 +156,14 @@
         ..Settings::default()
     });
     announce(&mut driver, late);
-    // The newcomer compares its view within a second.
+    // The new node compares its view within a second.
     driver.run(1_100);
     assert!(ready(&driver, 0));
 }
 
-/// A service of the configuration has no endpoint at all, or a node is alone: it must not wait for ever.
+/// Guards against a node waiting forever for peers or for a service without endpoints.
 #[test]
-fn node_serves_what_it_can_after_a_while() {
+fn lone_node_becomes_ready_after_timeout() {
     let mut alone = fleet(1);
     alone.event(0, Event::Imported(table(5, 10)));
     alone.run(READY_TIMEOUT_MS / 2);
@@ -175,11 +172,11 @@
     assert!(ready(&alone, 0));
 }
 
-/// Nodes on slow links would take a storm of versions, half a megabyte each, for longer than it lasts, and requests would
-/// wait behind it. One watcher with a fast link passes on what changed; the others do not touch the source.
+/// Guards against slow links carrying whole versions: a watcher sends differences, and the other
+/// nodes don't read the source.
 #[test]
-fn watcher_passes_differences_on_to_its_zone() {
-    let mut driver = watched(4, 1, &ZONES[..1]);
+fn watcher_pushes_differences_to_its_zone() {
+    let mut driver = fleet_with_watchers(4, 1, &ZONES[..1]);
     driver.event(0, Event::Source(Source::Held));
     driver.event(0, Event::Imported(table(5, 500)));
     driver.run(3_000);
@@ -187,33 +184,35 @@
         assert_eq!(
             version(&driver, index),
             5,
-            "node {index} asked for the first"
+            "node {index} asked for the first version"
         );
         assert_eq!(driver.kernels[index].state().import.turn(), Turn::Rest);
     }
     driver.event(0, Event::Imported(table(8, 501)));
     driver.run(20);
     for index in 1..4 {
-        assert_eq!(version(&driver, index), 8, "node {index} was told");
+        assert_eq!(
+            version(&driver, index),
+            8,
+            "node {index} got the difference"
+        );
         let spec = driver.kernels[index].state().import.table().spec().clone();
         assert_eq!(spec.routes.len(), 501);
     }
 }
 
-/// Thirty nodes of three zones start before there is a configuration; three of them, one a zone, have fast links and watch
-/// the source. The others find out who watches within a second and a half by asking around: did each of them go to the
-/// source as well, their links would carry the same half megabyte side by side. The first version then comes to each
-/// from its own zone, for whole versions between zones cost the most of a quiet day.
+/// Guards against a starting fleet reading the source on every node, or sending whole versions
+/// between zones.
 #[test_case(0)]
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn whole_fleet_starts_without_reading_the_source_or_other_zones(seed: u64) {
-    let mut driver = watched_from(seed, 30, 3, &ZONES);
-    let abroad = Rc::new(RefCell::new((0, 0)));
+fn fleet_start_spares_source_and_zone_links(seed: u64) {
+    let mut driver = imported_fleet(seed, 30, 3, &ZONES);
+    let part_counts = Rc::new(RefCell::new((0, 0)));
     let pairs = Rc::new(RefCell::new(BTreeSet::new()));
     let met = pairs.clone();
-    let seen = abroad.clone();
+    let seen = part_counts.clone();
     driver.tap = Some(Box::new(move |_, from, to, message| {
         if from % 3 != to % 3 && matches!(message, Message::Import(_)) {
             met.borrow_mut().insert((from.min(to), from.max(to)));
@@ -241,20 +240,22 @@
     assert!((3..30).all(|it| version(&driver, it) == 5));
     driver.run(30_000);
     let met = pairs.borrow().len();
-    assert!(met <= 3 * 30, "{met} pairs of nodes spoke across zones");
-    let (parts, abroad) = *abroad.borrow();
     assert!(
-        abroad * 5 <= parts,
-        "{abroad} of {parts} parts crossed zones"
+        met <= 3 * 30,
+        "{met} pairs of nodes sent messages across zones"
+    );
+    let (parts, crossed) = *part_counts.borrow();
+    assert!(
+        crossed * 5 <= parts,
+        "{crossed} of {parts} parts crossed zones"
     );
 }
 
-/// The source turns away both watchers of one zone and serves the others. Those who depend on them go on asking them, as
-/// they should for a while: they answered a moment ago. The watchers ask abroad instead and pass on what they learn, or
-/// the zone's callers would be handled by an old version for the five seconds until everybody goes to the source.
+/// Guards against a zone staying on an old version while the source rejects its watchers and serves
+/// those of other zones.
 #[test]
-fn zone_whose_watchers_are_turned_away_follows_the_others() {
-    let mut driver = watched(30, 6, &ZONES);
+fn zone_with_rejected_watchers_stays_current() {
+    let mut driver = fleet_with_watchers(30, 6, &ZONES);
     for index in 0..6 {
         driver.event(index, Event::Source(Source::Held));
         driver.event(index, Event::Imported(table(5, 500)));
@@ -272,11 +273,10 @@
     assert!(behind.is_empty(), "{behind:?} are behind");
 }
 
-/// One of two watchers in a zone leaves. Those who know it must not go on asking it: they would hear of no version until
-/// they stop believing in it, seconds later, and their callers get 404 for routes that are there.
+/// Guards against nodes querying a watcher that has left, and missing versions meanwhile.
 #[test]
-fn watcher_that_left_is_not_asked() {
-    let mut driver = watched(8, 2, &ZONES[..1]);
+fn departed_watcher_is_not_queried() {
+    let mut driver = fleet_with_watchers(8, 2, &ZONES[..1]);
     driver.event(0, Event::Source(Source::Held));
     for index in 0..2 {
         driver.event(index, Event::Imported(table(5, 10)));
@@ -286,25 +286,25 @@
     driver.event(0, Event::Idle);
     driver.run(3_000);
     driver.dead.insert(0);
-    let asked = Rc::new(RefCell::new(0));
-    let seen = asked.clone();
+    let queries = Rc::new(RefCell::new(0));
+    let seen = queries.clone();
     driver.tap = Some(Box::new(move |_, _, to, message| {
-        let asks = matches!(message, Message::Import(Import::Ask { .. }));
-        *seen.borrow_mut() += usize::from(asks && to == 0);
+        let is_query = matches!(message, Message::Import(Import::Ask { .. }));
+        *seen.borrow_mut() += usize::from(is_query && to == 0);
         Fate::Arrives
     }));
     driver.run(3_000);
-    assert_eq!(*asked.borrow(), 0, "questions to one that left");
+    assert_eq!(*queries.borrow(), 0, "queries to a node that left");
 }
 
-/// The watchers are gone: whoever depended on them watches by itself, and rests again once one is back.
+/// A node without watchers watches the source itself, and stops once a watcher is back.
 #[test]
-fn node_watches_by_itself_while_no_watcher_answers() {
-    let mut driver = watched(2, 1, &ZONES[..1]);
+fn node_watches_source_without_watchers() {
+    let mut driver = fleet_with_watchers(2, 1, &ZONES[..1]);
     let turn = |driver: &Driver| driver.kernels[1].state().import.turn();
     assert_eq!(turn(&driver), Turn::Rest);
     driver.run(WATCH_FIRST_MS + 500);
-    assert_eq!(turn(&driver), Turn::Follow, "nobody holds a version");
+    assert_eq!(turn(&driver), Turn::Follow, "no node holds a version");
     driver.event(0, Event::Source(Source::Held));
     driver.event(0, Event::Imported(table(5, 10)));
     driver.run(6_000);
@@ -314,18 +314,16 @@
     assert_eq!(turn(&driver), Turn::Follow, "the watcher lost the source");
 }
 
-/// Five zones with one watcher each; the source turns away those of three. A zone's watcher used to ask the same two nodes
-/// abroad, whether or not those knew more: where their zones had lost the source as well, a version went from zone to zone
-/// by one question after the other, and callers got 404 for routes accepted three seconds before. A watcher without the
-/// source finds one that has it, stays with it and is told of each version at once.
+/// Guards against zones whose watchers lost the source passing versions on by slow queries from
+/// zone to zone.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
 #[test_case(4)]
 #[test_case(5)]
 #[test_case(6)]
-fn zones_without_the_source_are_told_of_each_version(seed: u64) {
-    let mut driver = watched_from(seed, 25, 5, &FIVE_ZONES);
+fn zones_without_source_receive_each_version(seed: u64) {
+    let mut driver = imported_fleet(seed, 25, 5, &FIVE_ZONES);
     for index in 0..5 {
         driver.event(index, Event::Source(Source::Held));
         driver.event(index, Event::Imported(table(5, 50)));
@@ -347,12 +345,11 @@
     }
 }
 
-/// Every watcher of a zone loses power. The others relied on them for five seconds, then all read the source at once. A
-/// question that is not answered tells within a second that a watcher is gone, and a few take its place, in an order that
-/// all of them know.
+/// Guards against a zone noticing the loss of all its watchers late, and then reading the source on
+/// every node.
 #[test]
-fn few_take_the_place_of_watchers_that_died() {
-    let mut driver = watched(60, 3, &ZONES[..1]);
+fn few_standbys_replace_dead_watchers() {
+    let mut driver = fleet_with_watchers(60, 3, &ZONES[..1]);
     for index in 0..3 {
         driver.event(index, Event::Source(Source::Held));
         driver.event(index, Event::Imported(table(5, 50)));
@@ -374,8 +371,8 @@
             driver.event(*it, Event::Source(Source::Held));
         }
     }
-    let first = first.expect("somebody takes over");
-    assert!(first <= 2_200, "nobody watched for {first} ms");
+    let first = first.expect("a standby takes over");
+    assert!(first <= 2_200, "no node watched for {first} ms");
     let left = following(&driver);
     assert!((1..=4).contains(&left.len()), "{left:?} watch");
     for it in left {
@@ -386,11 +383,10 @@
     assert!(behind.is_empty(), "{behind:?} are behind");
 }
 
-/// One host is cut off from every other and still reaches the source. Nobody answers it, so it must not wait for its turn
-/// among the sixty of its zone.
+/// Guards against an isolated node waiting for its turn among the standbys of its zone.
 #[test]
-fn node_that_nobody_answers_watches_by_itself() {
-    let mut driver = watched(60, 3, &ZONES[..1]);
+fn isolated_node_watches_source() {
+    let mut driver = fleet_with_watchers(60, 3, &ZONES[..1]);
     for index in 0..3 {
         driver.event(index, Event::Source(Source::Held));
         driver.event(index, Event::Imported(table(5, 50)));
@@ -405,11 +401,10 @@
     assert_eq!(turn, Turn::Follow);
 }
 
-/// The store is down for twenty seconds. Were everybody whom nobody tells to ask it, a fleet of hundreds would make thousands of
-/// calls in vain, each of them priced; where a few of a zone get no answer, nobody does.
+/// Guards against every node of a fleet querying a source that is down.
 #[test]
-fn few_ask_a_source_that_answers_nobody() {
-    let mut driver = watched(60, 3, &ZONES[..1]);
+fn few_standbys_query_a_dead_source() {
+    let mut driver = fleet_with_watchers(60, 3, &ZONES[..1]);
     for index in 0..3 {
         driver.event(index, Event::Source(Source::Held));
         driver.event(index, Event::Imported(table(5, 50)));
@@ -420,8 +415,11 @@
     }
     driver.run(20_000);
     let follow = |it: &usize| driver.kernels[*it].state().import.turn() == Turn::Follow;
-    let asking = (3..60).filter(follow).count();
-    assert!((1..=6).contains(&asking), "{asking} ask");
+    let following = (3..60).filter(follow).count();
+    assert!(
+        (1..=6).contains(&following),
+        "{following} nodes ask the source"
+    );
     driver.event(1, Event::Source(Source::Held));
     driver.event(1, Event::Imported(table(6, 50)));
     driver.run(1_500);
--- a/crates/kernel/tests/invariants.rs
+++ b/crates/kernel/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What is promised to callers and operators holds after every step of a run, whatever goes wrong.
+//! Invariants that hold after every step of a run with random faults.
 
 #[path = "common/chaos.rs"]
 mod chaos;
@@ -12,45 +12,46 @@
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 
-use chaos::{CALM, Fleet, Kind, Trouble};
+use chaos::{FAULTS_END, FaultKind, FaultWindow, Fleet};
 
-/// Ms after the last trouble until everything has to be whole again.
-const BOUND: u64 = 90_000;
+/// Time after the last fault until the fleet has to be consistent again, in ms.
+const RECOVERY_MS: u64 = 90_000;
 
-/// Runs in CI; INVARIANT_CASES asks for more.
+/// Number of runs in CI; the variable INVARIANT_CASES overrides it.
 const CASES: u32 = 24;
 
-const KINDS: [Kind; 12] = [
-    Kind::Loss,
-    Kind::Doubling,
-    Kind::Delay,
-    Kind::Outage,
-    Kind::Objects,
-    Kind::LostAnswers,
-    Kind::LateWrites,
-    Kind::LostWrites,
-    Kind::SlowTable,
-    Kind::Isolated,
-    Kind::Paused,
-    Kind::Killed,
+const KINDS: [FaultKind; 12] = [
+    FaultKind::Loss,
+    FaultKind::Duplication,
+    FaultKind::Delay,
+    FaultKind::Outage,
+    FaultKind::ObjectOutage,
+    FaultKind::LostAnswers,
+    FaultKind::LateWrites,
+    FaultKind::LostWrites,
+    FaultKind::SlowTable,
+    FaultKind::Isolated,
+    FaultKind::Paused,
+    FaultKind::Killed,
 ];
 
-fn trouble() -> impl Strategy<Value = Trouble> {
+fn fault_window() -> impl Strategy<Value = FaultWindow> {
     let kind = prop::sample::select(&KINDS[..]);
-    (kind, 0..CALM, 50..12_000u64, 0..6usize).prop_map(|(kind, from, length, node)| Trouble {
-        kind,
-        from,
-        length,
-        node,
+    (kind, 0..FAULTS_END, 50..12_000u64, 0..6usize).prop_map(|(kind, from, length, node)| {
+        FaultWindow {
+            kind,
+            from,
+            length,
+            node,
+        }
     })
 }
 
-// Operators change services at any node, race, repeat and delete, and now and then a newer build writes a
-// document that nobody else can read, while up to ten troubles come and go, several at a time. No caller
-// is ever routed to a service that isn't there, no operator's accepted change is lost or made twice, no
-// node serves an older configuration than it did before; and once the troubles are over all is whole.
+// Operators submit changes at any node, also conflicting, repeated and deleting ones, while faults
+// overlap. Guards against routes to missing services, lost or doubled changes, and nodes that move
+// back.
 #[test]
-fn promises_hold_after_every_step() {
+fn invariants_hold_after_every_step() {
     let cases = std::env::var("INVARIANT_CASES").ok();
     let cases = cases.map_or(CASES, |it| it.parse().expect("a number of cases"));
     let config = Config {
@@ -60,11 +61,11 @@
         ..Config::default()
     };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
-    let troubles = prop::collection::vec(trouble(), 2..10);
-    let newer = prop::option::of(20_000..CALM);
-    let plans = (any::<u64>(), troubles, newer);
-    let run = |(seed, troubles, newer)| {
-        Fleet::new(seed, troubles).run(newer, BOUND);
+    let faults = prop::collection::vec(fault_window(), 2..10);
+    let newer = prop::option::of(20_000..FAULTS_END);
+    let plans = (any::<u64>(), faults, newer);
+    let run = |(seed, faults, newer)| {
+        Fleet::new(seed, faults).run(newer, RECOVERY_MS);
         Ok(())
     };
     if let Err(error) = TestRunner::new_with_rng(config, rng).run(&plans, run) {
@@ -72,8 +73,8 @@
     }
 }
 
-fn at(kind: Kind, from: u64, length: u64, node: usize) -> Trouble {
-    Trouble {
+fn fault(kind: FaultKind, from: u64, length: u64, node: usize) -> FaultWindow {
+    FaultWindow {
         kind,
         from,
         length,
@@ -81,27 +82,25 @@
     }
 }
 
-// The operator creates a service at node 4 while the committer stands still, and is told `conflict`: somebody
-// else created it. That one is deleted. The committer wakes, with the operator's submission still waiting
-// at its door, and creates the service although the operator was told that nothing was changed.
+// Guards against a paused committer that, once resumed, commits a waiting submission after its
+// operator was told `conflict`.
 #[test]
-fn committer_that_wakes_does_not_make_a_change_that_was_denied() {
-    let troubles = vec![
-        at(Kind::Doubling, 16_553, 1_150, 0),
-        at(Kind::Paused, 10_153, 5_148, 0),
+fn resumed_committer_drops_denied_change() {
+    let faults = vec![
+        fault(FaultKind::Duplication, 16_553, 1_150, 0),
+        fault(FaultKind::Paused, 10_153, 5_148, 0),
     ];
-    Fleet::new(14_222_299_588_701_249_954, troubles).run(None, BOUND);
+    Fleet::new(14_222_299_588_701_249_954, faults).run(None, RECOVERY_MS);
 }
 
-// Node 0 was ready with a change that it had accepted, and crashes before it told anyone. The table goes down.
-// It comes back, hears from its peers what was before, is ready, and serves without the change until the
-// table answers again.
+// Guards against a node that restarts in an outage becoming ready below a change that it had served
+// before its crash.
 #[test]
-fn node_that_restarts_in_an_outage_is_not_ready_below_what_it_served() {
-    let troubles = vec![
-        at(Kind::Killed, 12_782, 715, 0),
-        at(Kind::Outage, 12_946, 2_482, 0),
-        at(Kind::Killed, 14_746, 391, 1),
+fn restarted_node_is_not_ready_below_served_seq() {
+    let faults = vec![
+        fault(FaultKind::Killed, 12_782, 715, 0),
+        fault(FaultKind::Outage, 12_946, 2_482, 0),
+        fault(FaultKind::Killed, 14_746, 391, 1),
     ];
-    Fleet::new(7_528_980_936_338_682_249, troubles).run(None, BOUND);
+    Fleet::new(7_528_980_936_338_682_249, faults).run(None, RECOVERY_MS);
 }
--- a/crates/kernel/tests/routing.rs
+++ b/crates/kernel/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The table of routes: look-up, shares, and versions that are refused whole.
+//! Route tables: look-up, weights, invalid versions and differences.
 
 use laburnum_kernel::{
     document::Repeat,
@@ -45,7 +45,7 @@
 #[test_case("desk.example", "/plans/7", None; "no prefix")]
 #[test_case("other.example", "/drafts/7", None; "another host")]
 #[test_case("other.example", "/anything", Some("rest"); "the root of a host")]
-fn longest_prefix_of_the_host_wins(host: &str, path: &str, expected: Option<&str>) {
+fn longest_prefix_wins(host: &str, path: &str, expected: Option<&str>) {
     let mut routes = vec![
         route("drafts", "desk.example", "/drafts/", &[("desk", 1)]),
         route("old", "desk.example", "/drafts/old/", &[("registry", 1)]),
@@ -66,10 +66,9 @@
     assert!((900..1_100).contains(&share), "{share} of 10000");
 }
 
-/// A route that led to a service which the node does not hold would send requests nowhere. The version that
-/// holds it is refused whole, so the one before stays in force, whole.
+/// Guards against a partly applied version, or a route to a service that the node does not hold.
 #[test]
-fn version_with_a_dangling_route_is_refused_whole() {
+fn version_with_dangling_route_is_refused() {
     let routes = vec![route("r", "h", "/a/", &[("desk", 1), ("nowhere", 1)])];
     let refused = Table::new(spec(routes)).expect_err("a dangling route");
     assert_eq!(
@@ -86,7 +85,7 @@
 #[test_case(&[("desk", 1)], "/a" => matches Err(BadSpec::BadPrefix { .. }); "prefix without its last slash")]
 #[test_case(&[("desk", 1)], "a/" => matches Err(BadSpec::BadPrefix { .. }); "prefix without its first slash")]
 #[test_case(&[("desk", 1)], "/b/" => matches Err(BadSpec::Ambiguous { .. }); "two routes for the same requests")]
-fn contradictions_are_refused(targets: &[(&str, u32)], prefix: &str) -> Result<Table, BadSpec> {
+fn invalid_routes_are_refused(targets: &[(&str, u32)], prefix: &str) -> Result<Table, BadSpec> {
     let other = route("other", "h", "/b/", &[("desk", 1)]);
     Table::new(spec(vec![other, route("r", "h", prefix, targets)]))
 }
@@ -111,6 +110,6 @@
     assert_eq!(
         difference.apply(&after),
         None,
-        "it starts from another version"
+        "it applies to another version"
     );
 }
