--- a/crates/kernel/examples/capacity_plots.rs
+++ b/crates/kernel/examples/capacity_plots.rs
@@ -1,7 +1,8 @@
-//! Draws the slopes of docs/CAPACITY.md from the measured figures in docs/plots/slopes.csv.
+//! Draws the plots of docs/CAPACITY.md from the measurements in docs/plots/slopes.csv.
 //!
-//! `cargo run --release -p laburnum-kernel --example capacity_plots`, from the repository's root, writes one SVG
-//! a plot beside the CSV. Each line of the CSV is `plot,series,size,value`; both axes are logarithmic.
+//! `cargo run --release -p laburnum-kernel --example capacity_plots`, run in the repository's root,
+//! writes one SVG per plot beside the CSV. The lines of the CSV are `plot,series,size,value`; both
+//! axes are logarithmic.
 
 use std::{collections::BTreeMap, error::Error, fs, path::Path};
 
@@ -9,18 +10,18 @@
 
 const FOLDER: &str = "docs/plots";
 const SIZE: (u32, u32) = (720, 400);
-/// The letter's number of nodes, and so the right end of every plot.
+/// Number of nodes of the target deployment, at the right end of every plot.
 const NODES: f64 = 2_800.0;
 
-/// How far the axis goes below the lowest value, so that the legend has room under the lines.
+/// Factor by which the axis extends below the lowest value, to leave room for the legend.
 const LEGEND: f64 = 20.0;
 
-/// One plot: its name in the CSV and of its file.
+/// A plot; `name` is its name in the CSV and of its file.
 struct Plot {
     name: &'static str,
     title: &'static str,
     unit: &'static str,
-    /// What the letter allows, in `unit`.
+    /// Budget of the target deployment, in `unit`.
     budget: f64,
 }
 
@@ -51,40 +52,45 @@
     },
 ];
 
-/// One line of the CSV.
+/// A line of the CSV.
 struct Point {
     plot: String,
     series: String,
     at: (f64, f64),
 }
 
-/// Points of each series of a plot.
+/// The points of a plot by series.
 type Series = BTreeMap<String, Vec<(f64, f64)>>;
 
 fn main() -> Result<(), Box<dyn Error>> {
     let text = fs::read_to_string(Path::new(FOLDER).join("slopes.csv"))?;
     let mut plots: BTreeMap<String, Series> = BTreeMap::new();
     for line in text.lines().skip(1).filter(|it| !it.is_empty()) {
-        let it = read(line)?;
+        let it = parse_point(line)?;
         let series = plots.entry(it.plot).or_default().entry(it.series);
         series.or_default().push(it.at);
     }
     for plot in &PLOTS {
         let series = plots.remove(plot.name);
-        let series = series.ok_or_else(|| format!("slopes.csv has no line of {}", plot.name))?;
+        let series = series.ok_or_else(|| {
+            format!(
+                "slopes.csv has no line of the plot {}: add its figures",
+                plot.name
+            )
+        })?;
         draw(plot, series)?;
         println!("{FOLDER}/{}.svg", plot.name);
     }
     if let Some(name) = plots.keys().next() {
-        return Err(format!("slopes.csv names the plot {name}, which is not known here").into());
+        return Err(format!("slopes.csv names an unknown plot {name}: remove its lines").into());
     }
     Ok(())
 }
 
-fn read(line: &str) -> Result<Point, Box<dyn Error>> {
+fn parse_point(line: &str) -> Result<Point, Box<dyn Error>> {
     let fields: Vec<&str> = line.split(',').collect();
     let [plot, series, size, value] = fields.as_slice() else {
-        return Err(format!("four fields expected in: {line}").into());
+        return Err(format!("expected plot,series,size,value but got: {line}").into());
     };
     Ok(Point {
         plot: (*plot).to_owned(),
@@ -99,7 +105,7 @@
     let high = points.clone().map(|it| it.1).fold(plot.budget, f64::max) * 2.0;
     let left = points.map(|it| it.0).fold(NODES, f64::min);
     series.insert(
-        "the letter's budget".to_owned(),
+        "the budget".to_owned(),
         vec![(left, plot.budget), (NODES, plot.budget)],
     );
     let path = Path::new(FOLDER).join(format!("{}.svg", plot.name));
--- a/crates/kernel/examples/quarantine.rs
+++ b/crates/kernel/examples/quarantine.rs
@@ -1,7 +1,9 @@
-//! Measures how a quarantine reaches a fleet: `cargo run --release -p laburnum-kernel --example quarantine`.
+//! Measures how a quarantine spreads through a fleet.
 //!
-//! Two nodes report a crash with the same request in flight. Messages take no time here, so the reach of
-//! gossip alone is what holds at once, and the time until everywhere is that of repair.
+//! `cargo run --release -p laburnum-kernel --example quarantine`
+//!
+//! Two nodes report a crash with the same request in flight. Messages are delivered without delay,
+//! so what holds at once was spread by gossip alone, and the rest by comparison with peers.
 
 #[path = "../tests/common/claims.rs"]
 mod claims;
@@ -12,11 +14,11 @@
     guard::{self, Fingerprint},
 };
 
-/// Requests in flight at each crash.
+/// Number of requests in flight at each crash.
 const INFLIGHT: u64 = 12;
-/// Every so many messages is lost, besides none.
+/// Loss of messages: one in this many, or none if zero.
 const LOSSES: [u64; 2] = [0, 5];
-/// How long the cost of quiet times is measured, in ms.
+/// Time over which the idle cost is measured, in ms.
 const QUIET_MS: u64 = 60_000;
 
 fn main() {
@@ -41,9 +43,9 @@
         fleet.call(idx as usize, Call::Guard(guard::Call::Crashed { prints }));
         fleet.drain();
     }
-    let reached = held(&fleet);
+    let reached = quarantined_nodes(&fleet);
     let spent = fleet.spent.clone();
-    while held(&fleet) < count && fleet.now.since(start) < 600_000 {
+    while quarantined_nodes(&fleet) < count && fleet.now.since(start) < 600_000 {
         fleet.run(100);
     }
     let everywhere = fleet.now.since(start);
@@ -68,7 +70,7 @@
     )
 }
 
-fn held(fleet: &Fleet) -> usize {
+fn quarantined_nodes(fleet: &Fleet) -> usize {
     let views = fleet.kernels.iter();
     views
         .filter(|it| it.state().guard.quarantined().holds(Fingerprint(0)))
--- a/crates/kernel/examples/view_cost.rs
+++ b/crates/kernel/examples/view_cost.rs
@@ -1,13 +1,14 @@
-//! What one whole kernel costs, by the members it knows and the documents it holds.
+//! Measures the cost of a kernel by its number of members and documents.
 //!
-//! `cargo run --release -p laburnum-kernel --example view_cost -- [members] [documents]`, by default 2,800 and 190.
-//! One size a run: memory that an earlier size gave back would hide the growth.
+//! `cargo run --release -p laburnum-kernel --example view_cost -- [members] [documents]`, by
+//! default 2,800 and 190. Run one size per process: memory freed by an earlier size would hide the
+//! growth.
 //!
-//! Kernels take the documents from a table in memory, and the members from one message. Memory is the growth
-//! of the process, averaged over many kernels. Processor time is what the thread got, so others on the
-//! machine disturb it little. For the last columns one kernel with every plug-in runs ten simulated minutes
-//! among peers that answer its probes, comparisons and reads and ask it as often; no member and no document
-//! changes meanwhile, and the few lines that answer are counted too.
+//! Kernels read the documents from a table in memory and get the members in messages. Memory is the
+//! growth of the process, averaged over many kernels; processor time is that of the thread. For the
+//! last columns a kernel with all plug-ins runs ten simulated minutes among peers that answer its
+//! probes, comparisons and reads and send it as many, without changes of members or documents. The
+//! time for these answers is included.
 
 #[path = "../tests/common/driver.rs"]
 mod driver;
@@ -29,18 +30,18 @@
 
 const DOCUMENT: &str = include_str!("../../../examples/nile/drafting-desk.toml");
 
-/// Kernels that memory is averaged over.
+/// Number of kernels that memory is averaged over.
 const KERNELS: usize = 40;
-/// Views that time and memory are averaged over.
+/// Number of views that time and memory are averaged over.
 const VIEWS: usize = 200;
-/// Simulated seconds that processor time is measured over.
+/// Simulated time that processor time is measured over, in s.
 const SECONDS: u64 = 600;
 
 fn main() {
     let mut numbers = std::env::args().skip(1).filter_map(|it| it.parse().ok());
     let members: usize = numbers.next().unwrap_or(2_800);
     let documents: usize = numbers.next().unwrap_or(190);
-    let mut driver = filled(documents);
+    let mut driver = fill_kernel(documents);
     let before = resident();
     for _ in 0..KERNELS {
         driver.add("a");
@@ -55,14 +56,14 @@
     assert_eq!(state.log.services().len(), documents, "it caught up");
 
     let before = resident();
-    let begun = cpu();
+    let started = cpu();
     let views: Vec<_> = (0..VIEWS).map(|_| view::build(state, origin)).collect();
-    let build = cpu().saturating_sub(begun) / VIEWS as u32;
+    let build = cpu().saturating_sub(started) / VIEWS as u32;
     let view_kb = resident().saturating_sub(before) / VIEWS as u64;
     drop(black_box(views));
 
     let mut kernel = driver.kernels.remove(1);
-    let busy = run(&mut kernel, driver.now, members);
+    let busy = run_kernel(&mut kernel, driver.now, members);
     println!("members documents  kernel KB  view KB  build us  cpu us/s  % of a core");
     println!(
         "{members:>7} {documents:>9} {kernel_kb:>10} {view_kb:>8} {:>9} {:>9.0} {:>12.4}",
@@ -72,8 +73,8 @@
     );
 }
 
-/// One kernel that accepted the documents, one a service, of about 2 KB.
-fn filled(documents: usize) -> Driver {
+/// Starts a kernel and submits the documents to it: one per service, of about 2 KB each.
+fn fill_kernel(documents: usize) -> Driver {
     let mut driver = Driver::new(&["a"]);
     driver.run(10_000);
     let tokens: Vec<_> = (0..documents)
@@ -134,72 +135,72 @@
     assert!(alive >= members, "every member is known");
 }
 
-/// Processor time of `kernel` over [`SECONDS`].
-fn run(kernel: &mut Kernel, start: Ms, members: usize) -> Duration {
-    let begun = cpu();
-    let mut waiting = VecDeque::new();
+/// Returns the processor time of `kernel` over [`SECONDS`].
+fn run_kernel(kernel: &mut Kernel, start: Ms, members: usize) -> Duration {
+    let started = cpu();
+    let mut queue = VecDeque::new();
     for tick in 1..=SECONDS * 20 {
         let now = Ms(start.0 + tick * 50);
         if tick % 20 == 0 {
             let from = id(tick as usize % members);
             let (number, updates) = (tick, Vec::new());
             let packet = Packet::Ping { number, updates };
-            waiting.push_back(Event::Probe { from, packet });
+            queue.push_back(Event::Probe { from, packet });
         }
-        waiting.push_back(Event::Tick);
-        while let Some(event) = waiting.pop_front() {
+        queue.push_back(Event::Tick);
+        while let Some(event) = queue.pop_front() {
             let mut out = Vec::new();
             kernel.step(now, event, &mut out);
-            out.into_iter().for_each(|it| answer(it, &mut waiting));
+            out.into_iter().for_each(|it| answer(it, &mut queue));
         }
     }
-    cpu().saturating_sub(begun)
+    cpu().saturating_sub(started)
 }
 
-/// What the others do about `action`.
-fn answer(action: Action, waiting: &mut VecDeque<Event>) {
+/// Queues the response of peers and platform to `action`.
+fn answer(action: Action, queue: &mut VecDeque<Event>) {
     match action {
         Action::Probe {
             to,
             packet: Packet::Ping { number, updates },
         } => {
             let packet = Packet::Ack { number, updates };
-            waiting.push_back(Event::Probe { from: to, packet });
+            queue.push_back(Event::Probe { from: to, packet });
         }
-        Action::Send { to, message } => reply(to, message, waiting),
+        Action::Send { to, message } => reply(to, message, queue),
         Action::Table { call, .. } => {
             let answer = TableAnswer::Rows(Vec::new());
-            waiting.push_back(Event::Table { call, answer });
+            queue.push_back(Event::Table { call, answer });
         }
         Action::Object { call, .. } => {
             let answer = ObjectAnswer::Absent;
-            waiting.push_back(Event::Object { call, answer });
+            queue.push_back(Event::Object { call, answer });
         }
         other => drop(black_box(other)),
     }
 }
 
-/// A peer that holds the same answers a comparison, and asks the same in its turn.
-fn reply(from: NodeId, message: Message, waiting: &mut VecDeque<Event>) {
-    let mut say = |message| waiting.push_back(Event::Message { from, message });
+/// Queues the response of a peer with the same state, which also sends the same comparison.
+fn reply(from: NodeId, message: Message, queue: &mut VecDeque<Event>) {
+    let mut send = |message| queue.push_back(Event::Message { from, message });
     match message {
         Message::Members(members::Message::Compare { .. }) => {
-            say(Message::Members(members::Message::Same));
+            send(Message::Members(members::Message::Same));
         }
         Message::Spread(spread::Message::Compare {
             standing,
             turn: Turn::Question,
         }) => {
             for turn in [Turn::Answer, Turn::Question] {
-                say(Message::Spread(spread::Message::Compare { standing, turn }));
+                send(Message::Spread(spread::Message::Compare { standing, turn }));
             }
         }
-        Message::Guard(message) => say(Message::Guard(message)),
+        Message::Guard(message) => send(Message::Guard(message)),
         other => drop(black_box(other)),
     }
 }
 
-/// Resident memory of this process in KB; zero where the system does not tell.
+/// Returns the resident memory of this process in KB, or zero where the system doesn't report it.
 fn resident() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|it| it.starts_with("VmRSS"));
@@ -207,7 +208,7 @@
         .unwrap_or(0)
 }
 
-/// Processor time that this thread got; zero where the system does not tell.
+/// Returns the processor time of this thread, or zero where the system doesn't report it.
 fn cpu() -> Duration {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = stat
--- a/crates/kernel/src/import/subscription.rs
+++ b/crates/kernel/src/import/subscription.rs
@@ -105,7 +105,6 @@
         self.answered_at.is_some()
     }
 
-    /// Returns all subscribers.
     fn all_subscribers(&self) -> Vec<NodeId> {
         self.subscribers.keys().copied().collect()
     }
--- a/crates/kernel/tests/common/driver.rs
+++ b/crates/kernel/tests/common/driver.rs
@@ -16,7 +16,7 @@
     platform::{ABSENT, Check, Fault, ObjectAnswer, ObjectOp, Row, TableAnswer, TableOp, Write},
 };
 
-/// Result of a commit of the log.
+/// Outcome of a commit of the log.
 #[derive(Clone, Debug)]
 pub enum Mishap {
     /// It is carried out.
@@ -63,7 +63,7 @@
     pub kernels: Vec<Kernel>,
     pub rows: BTreeMap<String, Row>,
     pub objects: BTreeMap<String, Vec<u8>>,
-    /// Results of the next commits of the log, in order; [`Mishap::Fine`] afterwards.
+    /// Results of the next commits of the log, in order; later ones are carried out.
     pub mishaps: VecDeque<Mishap>,
     /// Whether the table and the object store are unavailable.
     pub down: bool,
@@ -329,13 +329,13 @@
 
     fn send(&mut self, index: usize, to: NodeId, mut message: Message) {
         let receiver = (0..self.kernels.len()).find(|it| node(*it) == to);
-        let fate = match (&mut self.tap, receiver) {
+        let delivery = match (&mut self.tap, receiver) {
             (Some(tap), Some(receiver)) => tap(self.now, index, receiver, &mut message),
             _ => Fate::Arrives,
         };
         let from = node(index);
         let event = Event::Message { from, message };
-        match (fate, receiver) {
+        match (delivery, receiver) {
             (Fate::Lost, _) => {}
             (Fate::Late(millis), Some(it)) if !self.deaf.contains(&it) => {
                 self.schedule(DELAY + millis, Due::Event(it, event));
@@ -358,12 +358,12 @@
     /// Returns the answer and its delay.
     fn table(&mut self, index: usize, op: &TableOp) -> (TableAnswer, u64) {
         let shown = describe_op(op);
-        let mishap = match shown {
+        let outcome = match shown {
             Some(_) if self.down => None,
             Some(_) if matches!(op, TableOp::Commit { .. }) => self.mishaps.pop_front(),
             _ => None,
         };
-        let (answer, delay) = match mishap {
+        let (answer, delay) = match outcome {
             _ if self.down => (TableAnswer::Failed(Fault::Unavailable), self.delay),
             None | Some(Mishap::Fine) => (self.carry_out(op), self.delay),
             Some(Mishap::Slow(millis)) => (self.carry_out(op), millis),
