--- a/crates/kernel/src/import/confirmation.rs
+++ b/crates/kernel/src/import/confirmation.rs
@@ -29,7 +29,7 @@
 /// Age of the last confirmation at which the version held may be out of force, in ms: the shortest
 /// propagation time that operators ask for.
 const OVERDUE_MS: u64 = 2_000;
-/// How long a node waits for a newer version that a peer reported before it asks for it, in ms.
+/// How long a node waits for a newer version that a peer reported before it queries for it, in ms.
 const MISSING_GRACE_MS: u64 = 400;
 /// How much younger than the last forwarded confirmation one must be to be forwarded, in ms. Also
 /// ends loops between nodes.
--- a/crates/kernel/src/import/question.rs
+++ b/crates/kernel/src/import/question.rs
@@ -155,7 +155,7 @@
     let own = cx.settings.node;
     let includes_remote = state.import.turn == Turn::Follow || queries_remote(cx, state);
     let subscriptions = &state.import.subscriptions;
-    // Skips peers that have not answered yet.
+    // Skips peers that have a pending query or did not answer the last one.
     let (near, remote) = peers(cx, state, |id| subscriptions.is_responsive(id, own));
     let mut chosen = Vec::from_iter(hint);
     // The watchers should have sent a confirmation by now. Whether they still answer decides if
