--- a/crates/node/src/auth.rs
+++ b/crates/node/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who may ask the admin address for what.
+//! Authorization of requests to the admin address, and checks that no socket is exposed without authentication.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -10,32 +10,32 @@
 
 use crate::{config::Config, traffic::faults::Faults};
 
-/// Most tokens in force at once: the old and the new one during rotation.
+/// Maximum number of tokens in force: the old and the new one during rotation.
 pub const TOKENS_MAX: usize = 2;
 
-/// The settings would leave a socket open to strangers.
+/// A setting that would expose a socket to unauthenticated peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Exposed {
-    /// Operators' API without a token where others reach it.
+    /// The admin address is reachable from other hosts and no token is set.
     #[error(
-        "the admin address {0} is not on loopback and no admin key is set: whoever reaches it could change the configuration; set an admin key, or listen on 127.0.0.1"
+        "the admin address {0} is not on loopback and no admin key is set: anyone who can reach it could change the configuration; set an admin key, or listen on 127.0.0.1"
     )]
     Admin(SocketAddr),
-    /// More tokens than rotation needs.
-    #[error("{0} admin keys are set; keep {TOKENS_MAX} at most: the old and the new one")]
+    /// More tokens are set than rotation needs.
+    #[error("{0} admin keys are set; set at most {TOKENS_MAX}: the old and the new one")]
     Tokens(usize),
-    /// Nodes that others reach with the key that everybody knows.
+    /// An address for nodes is reachable from other hosts and uses the public key.
     #[error(
-        "the address {0} is not on loopback and the link key is the public default: whoever reaches it would pass as a node; set a link key"
+        "the address {0} is not on loopback and the link key is the public default: anyone who can reach it could pose as a node; set a link key"
     )]
     Link(SocketAddr),
 }
 
-/// Refuses settings that would leave a socket open to strangers; names every such socket.
+/// Checks that no setting exposes a socket to unauthenticated peers; returns all that do.
 pub fn check(config: &Config) -> Result<(), Vec<Exposed>> {
     let mut faults = Vec::new();
     let tokens = config.admin_keys.len();
-    if tokens == 0 && !loopback(config.admin.ip()) {
+    if tokens == 0 && !is_loopback(config.admin.ip()) {
         faults.push(Exposed::Admin(config.admin));
     }
     if tokens > TOKENS_MAX {
@@ -44,7 +44,7 @@
     if config.keys.is_public() {
         let open = [config.control, config.traffic]
             .into_iter()
-            .filter(|it| !loopback(it.ip()));
+            .filter(|it| !is_loopback(it.ip()));
         faults.extend(open.map(Exposed::Link));
     }
     match faults.is_empty() {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Decides on requests to the admin address.
+/// Authorizes requests to the admin address.
 #[derive(Clone, Debug, Default)]
 pub struct Guard(Option<Arc<Rules>>);
 
@@ -64,26 +64,27 @@
     faults: Arc<Faults>,
 }
 
-/// The other end of a request's connection.
+/// Address of the peer that sent a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peer(pub SocketAddr);
 
-/// A request without a token that fits.
+/// A request without a valid token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unauthorized;
 
-/// What a path asks for.
+/// Access that a path requires.
 enum Access {
-    /// Anybody: probes of the host, and the collector of metrics.
+    /// Open to all: probes of the host, and the collector of metrics.
     Open,
-    /// The upstream beside the node, or a holder of a token.
-    Beside,
-    /// A holder of a token.
+    /// The upstream beside the node, or a client with a token.
+    Upstream,
+    /// A client with a token.
     Token,
 }
 
 impl Guard {
-    /// Rules of a node's admin address. Without a token, [`check`] made sure that it is on loopback.
+    /// Creates the guard of a node's admin address. Without a token, [`check`] has ensured that the address is
+    /// on loopback.
     pub fn new(config: &Config, faults: Arc<Faults>) -> Guard {
         if config.admin_keys.is_empty() {
             return Guard::default();
@@ -95,7 +96,7 @@
         })))
     }
 
-    /// Whether a request for `path` may go on.
+    /// Checks whether a request for `path` is authorized.
     pub fn admit(
         &self,
         path: &str,
@@ -105,10 +106,12 @@
         let Some(rules) = &self.0 else {
             return Ok(());
         };
-        let admitted = match access(path) {
+        let admitted = match required_access(path) {
             Access::Open => true,
-            Access::Beside => peer.is_some_and(|it| rules.beside(it)) || rules.holder(headers),
-            Access::Token => rules.holder(headers),
+            Access::Upstream => {
+                peer.is_some_and(|it| rules.is_local(it)) || rules.has_token(headers)
+            }
+            Access::Token => rules.has_token(headers),
         };
         if admitted {
             return Ok(());
@@ -121,13 +124,14 @@
 }
 
 impl Rules {
-    fn beside(&self, Peer(peer): Peer) -> bool {
+    fn is_local(&self, Peer(peer): Peer) -> bool {
         let ip = peer.ip().to_canonical();
         ip.is_loopback() || self.own.contains(&ip)
     }
 
-    /// Whether the request carries one token that fits. Every token is compared, whichever fits.
-    fn holder(&self, headers: &HeaderMap) -> bool {
+    /// Returns whether the request carries exactly one token, which is valid. All tokens are compared, so that
+    /// the time does not depend on which one matches.
+    fn has_token(&self, headers: &HeaderMap) -> bool {
         let mut values = headers.get_all(header::AUTHORIZATION).iter();
         let Some(value) = values.next().filter(|_| values.next().is_none()) else {
             return false;
@@ -137,15 +141,16 @@
     }
 }
 
-/// Whatever is not named here needs a token, so that a new path is never open by mistake.
-fn access(path: &str) -> Access {
+/// Returns the access that a path requires. Unknown paths need a token, so that a new path is never open by
+/// mistake.
+fn required_access(path: &str) -> Access {
     match path {
         "/livez" | "/readyz" | "/metrics" => Access::Open,
-        "/v1/upstream" => Access::Beside,
+        "/v1/upstream" => Access::Upstream,
         _ => Access::Token,
     }
 }
 
-fn loopback(ip: IpAddr) -> bool {
+fn is_loopback(ip: IpAddr) -> bool {
     ip.to_canonical().is_loopback()
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a node, already checked.
+//! Validated settings of a node.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -19,58 +19,60 @@
 /// Settings of a node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where callers send requests. Default: 127.0.0.1:7100.
+    /// Address for callers' requests. Default: 127.0.0.1:7100.
     pub caller: SocketAddr,
     /// Control address, TCP and UDP; the node's identity. Default: 127.0.0.1:7101.
     pub control: SocketAddr,
-    /// Where other nodes send requests. Default: 127.0.0.1:7102.
+    /// Address for other nodes' requests. Default: 127.0.0.1:7102.
     pub traffic: SocketAddr,
-    /// Where operators and the upstream beside the node call. Default: 127.0.0.1:7103.
+    /// Address for operators and the upstream beside the node. Default: 127.0.0.1:7103.
     pub admin: SocketAddr,
     /// Region. Default: local.
     pub region: String,
     /// Availability zone. Default: local-a.
     pub zone: String,
-    /// Control addresses of the nodes to contact first. Default: none.
+    /// Control addresses of nodes to contact at the start. Default: none.
     pub peers: Vec<SocketAddr>,
     /// Address of the platform's HTTP service. Default: the embedded memory platform.
     pub platform: Option<SocketAddr>,
-    /// Keys that the nodes of the fleet share. Default: the public key, for loopback only.
+    /// Link keys shared by the nodes of the fleet. Default: the public key, for loopback only.
     pub keys: Keys,
     /// Tokens that the admin address accepts: none, one, or two during rotation. Default: none, on loopback only.
     pub admin_keys: Vec<Token>,
-    /// How configuration spreads. Default: [`SpreadSettings::nile`].
+    /// Settings of the distribution of configuration. Default: [`SpreadSettings::nile`].
     pub spread: SpreadSettings,
-    /// How long the answer of an idempotency key is kept, in ms. Default: 24 h.
+    /// Retention time of answers to idempotency keys, in ms. Default: 24 h.
     pub retention: u64,
-    /// Threads that carry requests. Default: 2.
+    /// Number of threads that process requests. Default: 2.
     pub workers: usize,
-    /// What callers may hold. Default: [`Bounds::default`].
+    /// Limits on callers' connections. Default: [`Bounds::default`].
     pub callers: Bounds,
-    /// What other nodes may hold. Default: 4096 connections with 1024 requests each.
+    /// Limits on other nodes' connections. Default: 4096 connections with 1024 requests each.
     pub nodes: Bounds,
-    /// Connections to the upstream. Default: [`PoolSettings::default`].
+    /// Settings of the connection pool to the upstream. Default: [`PoolSettings::default`].
     pub pool: PoolSettings,
-    /// Longest wait for requests in progress when the node stops, in ms. Default: 30 s.
+    /// Grace period: maximum time for requests in progress to complete when the node stops, in ms. Default: 30
+    /// s.
     pub grace: u64,
-    /// How long a node that stops goes on taking connections from callers, in ms. Default: none.
+    /// Time for which a stopping node still accepts connections of callers, in ms. Default: none.
     ///
-    /// Callers that learn of a stop by asking for readiness go on sending for as long as they take to ask.
+    /// Callers that poll readiness continue to send until they notice the stop.
     pub linger: u64,
-    /// How long before it leaves a node that stops takes no more work for its upstream and tells the others, in ms.
-    /// Default: [`NOTICE_MS`].
+    /// Time before its end at which a stopping node rejects new work for its upstream and notifies other nodes,
+    /// in ms. Default: [`NOTICE_MS`].
     pub notice: u64,
-    /// Where the configuration comes from. Default: submitted.
+    /// Origin of the configuration. Default: submitted.
     pub origin: Origin,
-    /// Whether the node watches an external source. Default: always.
+    /// Whether the node watches the external configuration source. Default: always.
     pub watch: Watch,
-    /// What the host's link carries, in Mbit/s. Default: 1000.
+    /// Bandwidth of the host's link, in Mbit/s. Default: 1000.
     pub link: f64,
-    /// The service of the upstream beside the node, told to the upstreams that it calls. Default: unknown.
+    /// Service of the upstream beside the node, sent as the caller's service to other upstreams. Default:
+    /// unknown.
     pub service: Option<Name>,
-    /// Header fields that callers and upstreams know. Default: the system's own.
+    /// Header fields used with callers and upstreams. Default: the system's own.
     pub dialect: Dialect,
-    /// Whether the upstream is asked for its health. Default: every second.
+    /// Whether the node polls the upstream's health. Default: every second.
     pub polling: Polling,
 }
 
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: it owns the kernel and the link, and carries out the kernel's actions.
+//! The control thread: owns the kernel and the link, and carries out the kernel's actions.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -29,7 +29,7 @@
 
 use crate::logs;
 
-/// Asks the control thread; cheap to clone.
+/// Handle of the control thread; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Control {
     queue: Sender<Command>,
@@ -37,40 +37,40 @@
     view: Arc<ArcSwap<View>>,
     stats: Arc<ArcSwap<Stats>>,
     tokens: Arc<AtomicU64>,
-    /// Told when the external source is to be asked for a newer version.
+    /// Notified when the external source is to be checked for a newer version.
     checks: Arc<Notify>,
-    /// Told when it changes whether this node is to watch the external source.
+    /// Notified when this node starts or stops being a watcher of the external source.
     turns: Arc<Notify>,
 }
 
-/// What the control thread counted since it started.
+/// Statistics of the control thread since it started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// What went over the link, by kind.
+    /// Link traffic by kind of message.
     pub traffic: Traffic,
-    /// How configuration spread.
+    /// Statistics of the distribution of configuration.
     pub spread: spread::Stats,
-    /// The highest position heard of.
-    pub heard: Seq,
-    /// Nodes that are there, by reach and phase.
+    /// Highest log position known from any node.
+    pub highest_seq: Seq,
+    /// Number of alive nodes by reach and phase.
     pub members: BTreeMap<(Reach, Phase), u64>,
-    /// Submissions that wait here to be committed.
+    /// Submissions that wait to be committed.
     pub accepting: usize,
-    /// Outcomes that are not kept yet.
+    /// Outcomes that are not stored yet.
     pub unsettled: usize,
-    /// Whether the external source of the configuration answered last.
+    /// State of the external configuration source.
     pub source: import::Source,
-    /// How often it stopped answering.
+    /// Number of times that the source stopped answering.
     pub losses: u64,
-    /// Time since it last answered, in ms.
+    /// Time since the source last answered, in ms.
     pub silence: u64,
-    /// Time since the version in force was known to be the newest, in ms.
+    /// Age of the configuration: time since the version in force was last confirmed as the newest, in ms.
     pub age: u64,
-    /// How often the platform's store was put back to an older copy.
+    /// Number of times that the platform's store was restored to an older copy.
     pub restores: u64,
 }
 
-/// Shortest time between two log lines on refused frames, in ms.
+/// Minimum time between two log lines about refused frames, in ms.
 const REFUSALS_MS: u64 = 10_000;
 /// Interval at which [`Control::stats`] is refreshed, in ms.
 pub const STATS_MS: u64 = 1_000;
@@ -82,13 +82,13 @@
     Close,
 }
 
-/// The control thread is gone: the process is shutting down.
+/// The control thread has ended: the process is shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the node is shutting down; ask another node")]
 pub struct Closed;
 
 impl Control {
-    /// Asks the kernel and waits for its answer.
+    /// Sends a call to the kernel and waits for its reply.
     pub async fn call(&self, call: Call) -> Result<Reply, Closed> {
         let token = Token(self.tokens.fetch_add(1, Ordering::Relaxed));
         let (sender, receiver) = oneshot::channel();
@@ -96,27 +96,27 @@
         receiver.await.map_err(|_| Closed)
     }
 
-    /// Tells the kernel of an event.
+    /// Sends an event to the kernel.
     pub fn tell(&self, event: Event) -> Result<(), Closed> {
         self.push(Command::Event(event))
     }
 
-    /// Waits until the external source is to be asked for a newer version.
+    /// Waits until the external source is to be checked for a newer version.
     pub async fn check_wanted(&self) {
         self.checks.notified().await;
     }
 
-    /// Waits until it may have changed whether this node is to watch the external source.
+    /// Waits until this node may have started or stopped being a watcher of the external source.
     pub async fn turn_changed(&self) {
         self.turns.notified().await;
     }
 
-    /// The newest view.
+    /// Returns the newest view.
     pub fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
 
-    /// What the control thread counted, at most about [`STATS_MS`] ago.
+    /// Returns the statistics, at most about [`STATS_MS`] old.
     pub fn stats(&self) -> Arc<Stats> {
         self.stats.load_full()
     }
@@ -174,12 +174,12 @@
         Ok(ControlThread { control, thread })
     }
 
-    /// A handle to ask the thread by.
+    /// Returns a handle of the thread.
     pub fn control(&self) -> &Control {
         &self.control
     }
 
-    /// Whether the kernel left and the thread ended by itself.
+    /// Returns whether the kernel has left the fleet and the thread has ended.
     pub fn exited(&self) -> bool {
         self.thread.is_finished()
     }
@@ -204,14 +204,14 @@
     refusals: Refusals,
 }
 
-/// Frames refused when the last log line on them was written.
+/// State of the last log line about refused frames.
 #[derive(Debug, Default)]
 struct Refusals {
     count: u64,
-    told: Option<Ms>,
+    logged: Option<Ms>,
 }
 
-/// Whether the control loop goes on.
+/// Whether the control loop continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Next {
     Run,
@@ -231,7 +231,7 @@
                     Incoming::Probe { from, packet } => Event::Probe { from, packet },
                 });
             }
-            if let Next::Close = self.commands(commands) {
+            if let Next::Close = self.drain_commands(commands) {
                 return self.link.close();
             }
             if self.clock.now().since(ticked) >= TICK_MS {
@@ -240,8 +240,8 @@
             }
             if self.clock.now().since(counted) >= STATS_MS {
                 counted = self.clock.now();
-                self.count();
-                self.tell_refusals(counted);
+                self.update_stats();
+                self.log_refusals(counted);
             }
             if self.next == Next::Close {
                 return self.link.close();
@@ -249,7 +249,7 @@
         }
     }
 
-    fn count(&self) {
+    fn update_stats(&self) {
         let state = self.kernel.state();
         let mut members = BTreeMap::new();
         for (record, reach) in state.members.alive_with_reach() {
@@ -258,7 +258,7 @@
         let stats = Stats {
             traffic: self.link.traffic().clone(),
             spread: state.spread.stats(),
-            heard: state.spread.heard(),
+            highest_seq: state.spread.heard(),
             members,
             accepting: state.accept.waiting(),
             unsettled: state.once.unsettled(),
@@ -271,20 +271,20 @@
         self.control.stats.store(Arc::new(stats));
     }
 
-    /// One log line on refused frames in [`REFUSALS_MS`]: a flood of them must not become a flood of lines.
-    fn tell_refusals(&mut self, now: Ms) {
+    /// Logs refused frames, at most once per [`REFUSALS_MS`], so that a flood of frames does not flood the log.
+    fn log_refusals(&mut self, now: Ms) {
         let traffic = self.link.traffic();
         let (strange, replayed) = (traffic.strange, traffic.replayed);
-        let quiet = self
+        let is_due = self
             .refusals
-            .told
+            .logged
             .is_none_or(|it| now.since(it) >= REFUSALS_MS);
-        if strange + replayed == self.refusals.count || !quiet {
+        if strange + replayed == self.refusals.count || !is_due {
             return;
         }
         self.refusals = Refusals {
             count: strange + replayed,
-            told: Some(now),
+            logged: Some(now),
         };
         let pairs = [
             ("strange", strange.to_string()),
@@ -293,7 +293,7 @@
         logs::event("link-refused", &pairs);
     }
 
-    fn commands(&mut self, commands: &Receiver<Command>) -> Next {
+    fn drain_commands(&mut self, commands: &Receiver<Command>) -> Next {
         while let Ok(command) = commands.try_recv() {
             match command {
                 Command::Event(event) => self.step(event),
@@ -318,15 +318,15 @@
     fn step(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.kernel.step(self.clock.now(), event, &mut actions);
-        // Whoever gets a reply may read at once, in another thread: the view that the reply stands for must
-        // be there by then, or an accepted document would seem to be missing. The order of the others stays.
+        // Views are published before replies are sent: whoever gets a reply may read the view at once and must
+        // see the state that the reply refers to. The sort is stable.
         actions.sort_by_key(|it| !matches!(it, Action::Publish(_)));
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => self.link.send(to, &message),
             Action::Probe { to, packet } => self.link.probe(to, &packet),
@@ -334,7 +334,7 @@
                 let (platform, control) = (self.platform.clone(), self.control.clone());
                 self.runtime.spawn(async move {
                     let answer = platform.table(op).await;
-                    // Before the answer: what it says is of the era that it came in.
+                    // The era must arrive before the answer that belongs to it.
                     let _ = platform.era().map(|it| control.tell(Event::Era(it)));
                     // A closed control thread no longer waits for the answer.
                     let _ = control.tell(Event::Table { call, answer });
@@ -350,7 +350,7 @@
             }
             Action::Reply { token, reply } => {
                 if let Some(sender) = self.waiting.remove(&token) {
-                    // The asker may have given up meanwhile.
+                    // The caller may have stopped waiting.
                     let _ = sender.send(reply);
                 }
             }
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event; docs/LOGS.md lists the events.
+//! Logging: one line of key=value pairs for each event; docs/LOGS.md lists the events.
 
 use std::{
     fmt::{self, Write},
@@ -13,10 +13,10 @@
     record::Record,
 };
 
-/// Lines of the node's own events, which are pairs already; other lines are text of a library.
+/// Log target of the node's own events. Lines of other targets are free text of libraries.
 const TARGET: &str = "laburnum";
 
-/// Events that somebody should look at; docs/LOGS.md says what to do.
+/// Events logged at level warn; docs/LOGS.md describes what to do.
 const WARNINGS: [&str; 26] = [
     "calls-ended",
     "claims-damaged",
@@ -46,15 +46,15 @@
     "zone",
 ];
 
-/// Events after which the node does not go on.
+/// Events after which the node ends, logged at level error.
 const ERRORS: [&str; 1] = ["start-failed"];
 
-/// Writes one line: `event=<name> key=value ...`. Values with spaces or quotes are quoted.
+/// Logs one line: `event=<name> key=value ...`. Values with spaces or quotes are quoted.
 pub fn event(name: &str, pairs: &[(&str, String)]) {
     log::log!(target: TARGET, level(name), "{}", line(name, pairs));
 }
 
-/// The pairs of one event as text, without time and level.
+/// Returns an event as text, without time and level.
 pub fn line(name: &str, pairs: &[(&str, String)]) -> String {
     let mut line = format!("event={name}");
     for (key, value) in pairs {
@@ -64,19 +64,18 @@
     line
 }
 
-/// Sends log lines to standard error; `RUST_LOG` may ask for more or less than level info.
+/// Sends log lines to standard error; `RUST_LOG` overrides the default level info.
 pub fn init() {
     let filter = RustLogFilterBuilder::from_default_env_or("info").build();
     let starter = logforth::starter_log::stderr();
     starter.filter(filter).layout(Pairs).apply();
 }
 
-/// Lines that wait for a reader of standard output; more are dropped. Some 100 KB, a second at the highest rate.
+/// Maximum number of lines that wait for a reader of standard output, about 100 KB; further lines are dropped.
 const PENDING_MAX: usize = 512;
 
-/// Sends log lines to standard output through a thread of its own, which nothing ever waits for.
-///
-/// Whoever collects the lines may stop reading: written in place, the next line would stop the node.
+/// Sends log lines to standard output from a separate thread, so that a collector that stops reading does not
+/// block the node.
 pub fn init_pending() {
     let filter = RustLogFilterBuilder::from_default_env_or("info").build();
     let stdout = AsyncBuilder::new("log")
@@ -89,18 +88,18 @@
         .apply();
 }
 
-/// Writes what is still pending, at the end of a process.
+/// Writes pending lines at the end of a process.
 pub fn flush() {
     log::logger().flush();
 }
 
-/// Writes `ts=<ms since the epoch> level=<level>` before each event's pairs.
+/// Layout that writes `ts=<ms since the epoch> level=<level>` before each event's pairs.
 #[derive(Clone, Copy, Debug)]
 pub struct Pairs;
 
 impl Layout for Pairs {
     fn format(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<Vec<u8>, Error> {
-        // A clock before the epoch would be off by decades already.
+        // A clock before the epoch is reported as 0.
         let time = record.time().duration_since(UNIX_EPOCH).unwrap_or_default();
         let level = record.level().name().to_lowercase();
         let payload = record.payload().to_string();
@@ -115,9 +114,9 @@
     }
 }
 
-/// A value that cannot be taken for the next pair, nor end its line early.
+/// Quotes a value if needed.
 ///
-/// Names in requests and errors of libraries reach the log: a line break in one would forge a line.
+/// Names in requests and errors of libraries reach the log; an unquoted line break in one would forge a line.
 struct Quoted<'a>(&'a str);
 
 impl fmt::Display for Quoted<'_> {
@@ -130,7 +129,7 @@
     }
 }
 
-/// The level that an event is written at.
+/// Returns the log level of an event.
 pub fn level(name: &str) -> Level {
     match (ERRORS.contains(&name), WARNINGS.contains(&name)) {
         (true, _) => Level::Error,
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of one node; docs/METRICS.md lists them.
 //!
-//! Each node has a registry of its own: many nodes may run in one process, and none may count for another.
+//! Each node has its own registry, because several nodes may run in one process.
 
 mod table;
 
@@ -15,32 +15,32 @@
 
 use crate::{
     control::Control,
-    traffic::{Traffic, lines::Lines},
+    traffic::{Traffic, lines::OpenConnections},
 };
 
 pub use self::table::TABLE;
 
-/// The registry of one node; cheap to clone.
+/// Metrics registry of one node; cheap to clone.
 #[derive(Clone)]
 pub struct Metrics(Arc<Shared>);
 
 struct Shared {
     registry: Registry,
-    /// Stops what it made when it is dropped.
+    /// Ends its meters when dropped.
     _provider: SdkMeterProvider,
     meter: Meter,
 }
 
-/// Where values are read from when somebody asks.
+/// Components from which the values are read at each collection.
 pub struct Source {
     /// The control thread.
     pub control: Control,
     /// The request path.
     pub traffic: Traffic,
     /// Connections of callers.
-    pub callers: Lines,
+    pub callers: OpenConnections,
     /// Connections of other nodes.
-    pub nodes: Lines,
+    pub nodes: OpenConnections,
 }
 
 /// One metric.
@@ -48,21 +48,21 @@
 pub struct Row {
     /// Stable name.
     pub name: &'static str,
-    /// What its values mean to a collector.
+    /// Type of the metric.
     pub kind: Kind,
-    /// One line on what it is.
+    /// One-line description.
     pub help: &'static str,
     read: fn(&Source) -> Vec<Point>,
 }
 
-/// What the values of a metric mean.
+/// Type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Only grows until the process ends.
+    /// Monotonic until the process ends.
     Counter,
-    /// The present value.
+    /// Current value.
     Gauge,
-    /// Counts of values in ranges.
+    /// Counts of values by range.
     Histogram,
 }
 
@@ -75,16 +75,16 @@
 
 /// Name of the histogram of request latencies.
 pub const LATENCY: &str = "laburnum_request_duration_seconds";
-/// Upper bounds of its ranges, in seconds.
+/// Upper bounds of the histogram's ranges, in seconds.
 const LATENCY_BOUNDS: [f64; 14] = [
     0.001, 0.002, 0.003, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0,
 ];
 
 impl Metrics {
-    /// An empty registry.
+    /// Creates an empty registry.
     pub fn new() -> Result<Metrics, OTelSdkError> {
         let registry = Registry::new();
-        // Names in the table are whole: the exporter adds nothing to them.
+        // Names in the table are complete: the exporter must not add suffixes.
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .without_units()
@@ -100,7 +100,7 @@
         })))
     }
 
-    /// The histogram of request latencies, by class.
+    /// Creates the histogram of request latencies, by class.
     pub fn latency(&self) -> Histogram<f64> {
         let histogram = self.0.meter.f64_histogram(LATENCY);
         histogram
@@ -109,8 +109,8 @@
             .build()
     }
 
-    /// Reads every metric of the table from `source` from now on.
-    pub fn follow(&self, source: Source) {
+    /// Registers every metric of the table, with values read from `source`.
+    pub fn register(&self, source: Source) {
         let source = Arc::new(source);
         for row in TABLE {
             let source = source.clone();
@@ -118,13 +118,13 @@
             match row.kind {
                 Kind::Counter => self.counter(row, points),
                 Kind::Gauge => self.gauge(row, points),
-                // The request path records it itself.
+                // Recorded by the request path itself.
                 Kind::Histogram => {}
             }
         }
     }
 
-    /// Everything in Prometheus' text format.
+    /// Returns all metrics in Prometheus' text format.
     pub fn text(&self) -> Result<String, prometheus::Error> {
         TextEncoder::new().encode_to_string(&self.0.registry.gather())
     }
@@ -161,7 +161,7 @@
 }
 
 impl Kind {
-    /// Its name in Prometheus' text format.
+    /// Returns its name in Prometheus' text format.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Counter => "counter",
--- a/crates/node/src/metrics/table.rs
+++ b/crates/node/src/metrics/table.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{Kind, LATENCY, Point, Row, Source};
-use crate::traffic::lines::Lines;
+use crate::traffic::lines::OpenConnections;
 
 /// Every metric.
 pub const TABLE: [Row; 40] = [
@@ -19,7 +19,7 @@
     gauge(
         "laburnum_seq_heard",
         "Highest position that this node heard of.",
-        |it| one(it.control.stats().heard.0),
+        |it| one(it.control.stats().highest_seq.0),
     ),
     gauge(
         "laburnum_ready",
@@ -281,7 +281,7 @@
     one(endpoints.sum())
 }
 
-fn sockets(source: &Source) -> [(&'static str, &Lines); 2] {
+fn sockets(source: &Source) -> [(&'static str, &OpenConnections); 2] {
     [("callers", &source.callers), ("nodes", &source.nodes)]
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! A running node: its threads and sockets.
+//! Assembles and runs a node: its threads and sockets.
 
 use std::{convert::Infallible, net::SocketAddr, pin::pin, sync::Arc, time::Duration};
 
@@ -35,9 +35,9 @@
         Parts, Traffic,
         counts::Counts,
         faults::Faults,
-        lines::Lines,
+        lines::OpenConnections,
         proof::Proofs,
-        serve::{Bounds, Server, Speech},
+        serve::{Bounds, Protocols, Server},
     },
     upstream::Upstream,
 };
@@ -51,10 +51,10 @@
     /// The link's sockets cannot be opened.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// The registry of metrics refuses them.
+    /// The metrics registry rejects them.
     #[error("cannot register the metrics: {0}; update the node")]
     Metrics(#[from] OTelSdkError),
-    /// The settings would leave a socket open to strangers.
+    /// The settings would expose a socket to unauthenticated peers.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     Exposed(Vec<Exposed>),
     /// An HTTP socket cannot be bound.
@@ -76,9 +76,9 @@
     grace: Duration,
     linger: Duration,
     notice: Duration,
-    /// Ends the sockets of callers and operators.
+    /// Servers of callers and operators.
     callers: Servers,
-    /// Ends the socket of other nodes.
+    /// Server of other nodes.
     nodes: Servers,
 }
 
@@ -88,11 +88,11 @@
     tasks: JoinSet<()>,
 }
 
-/// Interval in which a draining node looks for requests in progress.
+/// Interval at which a draining node checks for requests in progress.
 const DRAIN_POLL: Duration = Duration::from_millis(5);
 
-/// The part of the grace, as its divisor, that is kept for the last answers and for telling the other nodes:
-/// 0.37 s of 5.5 s, many times what a few hundred short answers take on a slow link.
+/// Part of the grace period, as its divisor, that is reserved for the answers_due answers and for notifying other
+/// nodes.
 const LAST_SHARE: u32 = 15;
 
 impl Node {
@@ -139,8 +139,8 @@
         let metrics = Metrics::new()?;
         let guard = Guard::new(&config, faults.clone());
         let upstream = Upstream::start(handle.clone(), clock.clone(), config.pool, config.polling);
-        // A row a node is a write a start of its upstream and a read a start of the node. Fleets whose nodes leave the
-        // source to a few of them, to spare the store, do without: 75 such nodes made 1,000 more calls a day.
+        // The saved heartbeat costs a write per start of the upstream and a read per start of the node. Nodes
+        // that leave the source to watchers do without, to reduce the load on the store.
         if config.origin == Origin::Imported && config.watch == Watch::Always {
             tokio::spawn(recall::run(platform, node, upstream.clone()));
         }
@@ -158,13 +158,13 @@
             service: config.service,
             link: config.link,
         });
-        let entry_lines = Lines::new(clock.clone(), config.callers.connections);
-        let owner_lines = Lines::new(clock.clone(), config.nodes.connections);
-        metrics.follow(Source {
+        let entry_connections = OpenConnections::new(clock.clone(), config.callers.connections);
+        let owner_connections = OpenConnections::new(clock.clone(), config.nodes.connections);
+        metrics.register(Source {
             control: handle.clone(),
             traffic: path.clone(),
-            callers: entry_lines.clone(),
-            nodes: owner_lines.clone(),
+            callers: entry_connections.clone(),
+            nodes: owner_connections.clone(),
         });
         let api = Admin {
             guard,
@@ -175,9 +175,9 @@
         callers.serve(
             Server {
                 listener: caller,
-                speech: Speech::Both,
-                bounds: followed(&config.callers, config.origin, handle.clone()),
-                lines: entry_lines,
+                protocols: Protocols::Both,
+                bounds: current_bounds(&config.callers, config.origin, handle.clone()),
+                connections: entry_connections,
                 faults: faults.clone(),
             },
             move |peer| entry.entry(peer),
@@ -186,20 +186,20 @@
         callers.serve(
             Server {
                 listener: admin,
-                speech: Speech::Both,
-                lines: Lines::new(clock, config.callers.connections),
+                protocols: Protocols::Both,
+                connections: OpenConnections::new(clock, config.callers.connections),
                 bounds: Box::new(move || config.callers.clone()),
                 faults: faults.clone(),
             },
-            move |peer| operators(router.clone(), peer),
+            move |peer| operator_service(router.clone(), peer),
         );
         let owner = path.clone();
         nodes.serve(
             Server {
                 listener: traffic,
-                speech: Speech::Http2,
-                bounds: followed(&config.nodes, config.origin, handle),
-                lines: owner_lines,
+                protocols: Protocols::Http2,
+                bounds: current_bounds(&config.nodes, config.origin, handle),
+                connections: owner_connections,
                 faults: faults.clone(),
             },
             move |peer| owner.owner(peer),
@@ -218,70 +218,70 @@
         })
     }
 
-    /// The control thread, for callers inside the process.
+    /// Returns the handle of the control thread.
     pub fn control(&self) -> &Control {
         self.control.control()
     }
 
-    /// The node's metrics.
+    /// Returns the node's metrics.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// The upstream beside the node.
+    /// Returns the upstream beside the node.
     pub fn upstream(&self) -> &Upstream {
         &self.upstream
     }
 
-    /// Faults of callers, operators and nodes so far.
+    /// Returns the counters of invalid input from callers, operators and nodes.
     pub fn faults(&self) -> &Faults {
         &self.faults
     }
 
-    /// Attempts beyond each request's first that callers' requests took at this node so far.
+    /// Returns the number of retries of callers' requests so far.
     pub fn retries(&self) -> u64 {
         self.traffic.retries()
     }
 
-    /// Requests of callers in progress.
-    pub fn carried(&self) -> usize {
-        self.traffic.carried()
+    /// Returns the number of callers' requests in progress.
+    pub fn in_progress(&self) -> usize {
+        self.traffic.in_progress()
     }
 
-    /// Drains and stops: the upstream takes no new work, and every request in progress gets its answer.
+    /// Drains and stops the node: the upstream gets no new requests, and every request in progress is answered.
     ///
-    /// A caller whose answer has not come shortly before the grace ends is told so; what takes even longer is cut.
-    /// Dropping the future stops at once.
+    /// Requests that are still pending shortly before the grace period ends get an answer that says so;
+    /// connections that remain open after it are closed. Dropping the future stops at once.
     pub async fn close(self) {
         let end = Instant::now() + self.grace;
-        let last = end - self.grace / LAST_SHARE;
-        // Callers that have not noticed yet are served like any other, and so is the upstream, which may live on: were
-        // its slots left idle for all that time, nodes that stop in turn would leave many upstreams idle at once.
+        let answers_due = end - self.grace / LAST_SHARE;
+        // Until other nodes have noticed, requests are still accepted for callers and for the upstream, which
+        // may keep running: rejecting them early would leave upstreams idle when nodes are stopped in turn.
         let notice = self.notice.min(self.linger);
         sleep(self.linger - notice).await;
-        // A closed control thread has nobody left to tell.
+        // A closed control thread has already stopped.
         let _ = self.control.control().tell(Event::Stop);
         self.traffic.drain();
         sleep(notice).await;
-        // The upstream's requests in progress may call other services through this node: callers are
-        // served until the last of them is done.
-        let _ = timeout_at(last, owned(&self.traffic)).await;
+        // Requests at the upstream may call other services through this node, so callers are served until the
+        // answers_due one is done.
+        let _ = timeout_at(answers_due, upstream_idle(&self.traffic)).await;
         let mut callers = pin!(self.callers.close());
-        if timeout_at(last, &mut callers).await.is_err() {
-            self.traffic.give_up();
+        if timeout_at(answers_due, &mut callers).await.is_err() {
+            self.traffic.answer_pending();
             let _ = timeout_at(end, callers).await;
         }
-        // Callers of this node may have been the last to need its upstream.
-        let _ = timeout_at(end, owned(&self.traffic)).await;
-        // The kernel tells the other nodes. An entry that has not heard yet meets a refusal here, and keeps
-        // off, rather than a closed port, which would cost it a retry each time.
+        // Callers' requests may have used this node's own upstream until now.
+        let _ = timeout_at(end, upstream_idle(&self.traffic)).await;
+        // The kernel notifies the other nodes. Until then an entry gets a refusal from this node instead of a
+        // closed port, which would cost it a retry per request.
         let _ = self.control.control().tell(Event::Idle);
-        let _ = timeout_at(end, exited(&self.control)).await;
+        let _ = timeout_at(end, control_exited(&self.control)).await;
         let _ = timeout_at(end, self.nodes.close()).await;
         self.control.close();
     }
 
-    /// Stops at once, as a process that is killed: requests in progress are cut, and no other node is told.
+    /// Stops at once, like a killed process: requests in progress are cut, and no other node is notified.
     pub async fn kill(self) {
         let Node {
             control,
@@ -289,7 +289,7 @@
             nodes,
             ..
         } = self;
-        // Aborted tasks drop their sockets; only then may another node take the addresses.
+        // Waits until aborted tasks have closed their sockets, so that another node can bind the addresses.
         let (mut callers, mut nodes) = (callers.tasks, nodes.tasks);
         callers.shutdown().await;
         nodes.shutdown().await;
@@ -297,8 +297,8 @@
     }
 }
 
-/// What a socket lets others hold: the settings, and what an imported configuration grants beyond them.
-fn followed(
+/// Returns the limits of a socket: the settings, raised to what an imported configuration grants.
+fn current_bounds(
     bounds: &Bounds,
     origin: Origin,
     control: Control,
@@ -310,13 +310,13 @@
     }
 }
 
-async fn exited(control: &ControlThread) {
+async fn control_exited(control: &ControlThread) {
     while !control.exited() {
         sleep(DRAIN_POLL).await;
     }
 }
 
-async fn owned(traffic: &Traffic) {
+async fn upstream_idle(traffic: &Traffic) {
     while traffic.owned() > 0 {
         sleep(DRAIN_POLL).await;
     }
@@ -332,7 +332,7 @@
 }
 
 impl Servers {
-    fn serve<S, F>(&mut self, server: Server, make: F)
+    fn serve<S, F>(&mut self, server: Server, make_service: F)
     where
         S: tower::Service<Request<Incoming>, Response = Response<Body>, Error = Infallible>
             + Clone
@@ -341,17 +341,18 @@
         S::Future: Send,
         F: Fn(SocketAddr) -> S + Send + 'static,
     {
-        self.tasks.spawn(server.run(self.stop.subscribe(), make));
+        self.tasks
+            .spawn(server.run(self.stop.subscribe(), make_service));
     }
 
-    /// Takes no new connections and waits until every request in progress has its answer.
+    /// Accepts no new connections and waits until every request in progress is answered.
     async fn close(mut self) {
         let _ = self.stop.send(true);
         while self.tasks.join_next().await.is_some() {}
     }
 }
 
-fn operators(
+fn operator_service(
     router: Router,
     peer: SocketAddr,
 ) -> impl tower::Service<Request<Incoming>, Response = Response<Body>, Error = Infallible, Future: Send>
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -1,9 +1,8 @@
-//! What the node last heard of the upstream beside it, kept in the platform's table for its next process.
+//! Saves the upstream's last heartbeat in the platform's table for the node's next process.
 //!
-//! A node that is killed starts again within half a second, and its upstream lives on. It would be heard of at its next
-//! heartbeat, up to 1.5 s later: where the whole fleet is killed, nobody is served for that long, although every upstream
-//! is idle. So each start of the upstream is written once, and a new process takes it up from there. If the upstream
-//! is gone meanwhile, nothing wrong runs: its address refuses, or whoever has it now is not the instance asked for.
+//! A restarted node can use its upstream at once instead of waiting for the next heartbeat. If the upstream has
+//! ended meanwhile, nothing wrong runs: its address refuses connections, or another instance there rejects the
+//! request. Each start of the upstream is written once.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,31 +25,30 @@
     upstream::{Announcement, Heartbeat, Upstream},
 };
 
-/// Prefix of the keys of these rows; a node's control address follows.
+/// Prefix of the keys of these rows, followed by the node's control address.
 pub const PREFIX: &str = "upstream/";
-/// Pause before a write that failed is tried again: the row is of use only after a restart.
+/// Retry delay of a failed write.
 const RETRY: Duration = Duration::from_secs(2);
+/// Interval at which to check whether the store was restored to an older copy, which may lack the row.
+const RESTORE_CHECK: Duration = Duration::from_secs(1);
 
-/// Interval at which is looked whether the store was put back to an older copy, which may lack the row.
-const RESTORED: Duration = Duration::from_secs(1);
-
-/// The value of a row.
+/// Value of a row.
 #[derive(Debug, Serialize, Deserialize)]
-struct Saved {
+struct SavedHeartbeat {
     service: String,
     address: SocketAddr,
     slots: u16,
     id: String,
     born: u64,
     sequence: u64,
-    /// The store's era when it was written. What an older copy of the store holds may be long out of date: the upstream may
-    /// have drained since, and callers' requests would still be sent to it.
+    /// Era of the store when the row was written. A row of another era may be outdated, for example because the
+    /// upstream has started to drain since.
     era: Option<Era>,
 }
 
-/// Takes up what the process before left, then keeps the row up to date until the node is dropped.
+/// Restores the saved heartbeat, then keeps the row up to date until the node is dropped.
 pub async fn run(platform: Arc<dyn Platform>, node: NodeId, upstream: Upstream) {
-    let kept = upstream.kept();
+    let heartbeats = upstream.saved();
     let mut row = Row {
         platform,
         key: format!("{PREFIX}{node}"),
@@ -59,20 +57,20 @@
     };
     row.read().await;
     if let Some(it) = row.written.clone() {
-        // A closed control thread needs no news.
+        // A closed control thread needs no update.
         let _ = upstream.recall(it);
     }
     drop(upstream);
-    row.keep(kept).await;
+    row.sync(heartbeats).await;
 }
 
 /// This node's row.
 struct Row {
     platform: Arc<dyn Platform>,
     key: String,
-    /// What it holds, as far as is known.
+    /// Contents of the row, as far as known.
     written: Option<Heartbeat>,
-    /// The store's era as of that.
+    /// Era of the store when `written` was read or written.
     era: Option<Era>,
 }
 
@@ -88,21 +86,21 @@
                 let saved = saved.filter(|(era, _)| *era == self.era);
                 self.written = saved.map(|(_, it)| it);
             }
-            // The heartbeats tell the same, only later.
-            answer => failed("read", &answer),
+            // The next heartbeat brings the same information later.
+            answer => log_failure("read", &answer),
         }
     }
 
-    /// Writes each change, the newest first; one that fails is tried again until it is outdated.
-    async fn keep(mut self, mut kept: watch::Receiver<Option<Heartbeat>>) {
-        while let Ok(()) = self.due(&mut kept).await {
+    /// Writes each change. A failed write is retried with the newest value.
+    async fn sync(mut self, mut heartbeats: watch::Receiver<Option<Heartbeat>>) {
+        while let Ok(()) = self.wait_for_change(&mut heartbeats).await {
             loop {
-                let newest = kept.borrow_and_update().clone();
-                let said = newest.as_ref().map(Heartbeat::said);
+                let newest = heartbeats.borrow_and_update().clone();
+                let content = newest.as_ref().map(Heartbeat::content);
                 let era = self.platform.era();
-                let kept = said == self.written.as_ref().map(Heartbeat::said);
-                // A row that an older copy of the store brought back is not taken up, so it needs no removal.
-                if kept && (era == self.era || newest.is_none()) {
+                let unchanged = content == self.written.as_ref().map(Heartbeat::content);
+                // A row restored with an older copy of the store is ignored, so it need not be deleted.
+                if unchanged && (era == self.era || newest.is_none()) {
                     self.era = era;
                     break;
                 }
@@ -120,7 +118,7 @@
                         self.era = era;
                         break;
                     }
-                    answer => failed("write", &answer),
+                    answer => log_failure("write", &answer),
                 }
                 sleep(RETRY).await;
             }
@@ -128,12 +126,15 @@
     }
 
     /// Waits until the row may have to be written.
-    async fn due(&self, kept: &mut watch::Receiver<Option<Heartbeat>>) -> Result<(), RecvError> {
+    async fn wait_for_change(
+        &self,
+        heartbeats: &mut watch::Receiver<Option<Heartbeat>>,
+    ) -> Result<(), RecvError> {
         loop {
-            match timeout(RESTORED, kept.changed()).await {
+            match timeout(RESTORE_CHECK, heartbeats.changed()).await {
                 Ok(changed) => return changed,
                 Err(_) if self.platform.era() != self.era => {
-                    // Every node has lost its row at the same moment.
+                    // All nodes lost their rows at the same time, so the writes are spread out.
                     let jitter = RETRY.mul_f64(rand::rng().random());
                     sleep(jitter).await;
                     return Ok(());
@@ -144,7 +145,7 @@
     }
 
     fn put(&self, it: &Heartbeat) -> Write {
-        match postcard::to_stdvec(&saved(it, self.platform.era())) {
+        match postcard::to_stdvec(&saved_heartbeat(it, self.platform.era())) {
             Ok(value) => Write::Put {
                 key: self.key.clone(),
                 value,
@@ -164,13 +165,13 @@
     }
 }
 
-fn failed(what: &'static str, answer: &TableAnswer) {
+fn log_failure(what: &'static str, answer: &TableAnswer) {
     let pairs = [("what", what.to_owned()), ("why", format!("{answer:?}"))];
     logs::event("recall-failed", &pairs);
 }
 
-fn saved(it: &Heartbeat, era: Option<Era>) -> Saved {
-    Saved {
+fn saved_heartbeat(it: &Heartbeat, era: Option<Era>) -> SavedHeartbeat {
+    SavedHeartbeat {
         service: it.announcement.service.to_string(),
         address: it.announcement.address,
         slots: it.announcement.slots,
@@ -181,9 +182,9 @@
     }
 }
 
-/// A row that another version of the program wrote may not read: then there is nothing to take up.
+/// Decodes a row. A row of an incompatible version is ignored.
 fn decode(bytes: &[u8]) -> Option<(Option<Era>, Heartbeat)> {
-    let saved: Saved = postcard::from_bytes(bytes).ok()?;
+    let saved: SavedHeartbeat = postcard::from_bytes(bytes).ok()?;
     let heartbeat = Heartbeat {
         start: Start {
             id: saved.id.into(),
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -1,10 +1,10 @@
-//! The request path: caller, entry node, owner node, upstream.
+//! Forwards requests: caller, entry node, owner node, upstream.
 //!
-//! Any node is an entry: it finds the service and the route, picks an endpoint and forwards the request to
-//! the node beside it, the owner. The owner alone admits work to its upstream and knows what became of it, so
-//! every answer says in [`headers::OUTCOME`] whether the request was run. The decisions are the kernel's
+//! Any node can be the entry: it looks up the service and the route, picks an endpoint and forwards the request
+//! to the node beside that endpoint, the owner. Only the owner admits requests to its upstream and knows
+//! whether they ran; every answer states this in [`headers::OUTCOME`]. The decisions are made by the kernel
 //! ([`laburnum_kernel::pick`], [`laburnum_kernel::retry`], [`laburnum_kernel::admission`],
-//! [`laburnum_kernel::once`]); the modules here move the bytes.
+//! [`laburnum_kernel::once`]); the modules here do the I/O.
 
 mod answer;
 pub mod body;
@@ -62,8 +62,8 @@
 use headers::REQUEST;
 use peers::Peers;
 use proof::{Proofs, Unproven};
-use report::Reports;
-use room::Link;
+use report::RequestLog;
+use room::LinkBudget;
 use serve::Line;
 use services::Services;
 
@@ -77,71 +77,71 @@
     clock: Clock,
     upstream: Upstream,
     gate: Gate,
-    /// Lets long bodies in at the pace of the host's link.
-    link: Link,
+    /// Admits large request bodies at the rate of the host's link.
+    link: LinkBudget,
     peers: Peers,
     proofs: Proofs,
     services: Services,
     faults: Arc<Faults>,
     counts: Counts,
     limiter: Mutex<Limiter>,
-    reports: Reports,
-    /// Bounds what the entry holds of bodies to send again.
-    held: Budget,
+    request_log: RequestLog,
+    /// Memory budget for request bodies that the entry buffers for retries.
+    buffered: Budget,
     origin: Origin,
     dialect: Dialect,
-    /// The service of the upstream beside this node.
+    /// Service of the upstream beside this node.
     service: Option<Name>,
     draining: AtomicBool,
-    /// Turns true when callers can't be kept waiting any longer.
-    closing: watch::Sender<bool>,
-    /// Held by the one request that is suspected of a crash and runs.
+    /// Becomes true when pending requests must be answered at once because the node stops.
+    stopping: watch::Sender<bool>,
+    /// Permit of the one suspect request that may run at a time.
     suspects: Arc<Semaphore>,
-    /// Bounds claims on their way.
+    /// Permits of claim requests in flight.
     claims: Arc<Semaphore>,
-    /// Requests at the owner, and settlements on their way.
+    /// Requests that this node handles as owner, and settlements in flight.
     owned: AtomicUsize,
 }
 
-/// Interval in which queues, connections and the upstream's phase are looked after.
+/// Interval at which the admission queue and the upstream's phase are updated.
 const TICK: Duration = Duration::from_millis(10);
-/// Ticks between two looks at idle connections.
+/// Ticks between two prunings of idle connections.
 const PRUNE_TICKS: u64 = 1_000;
-/// Most claims on their way at once; more are refused, for each may cost the platform a write.
+/// Maximum number of claim requests in flight; each may cost a write to the platform's table.
 const CLAIMS_MAX: usize = 64;
-/// Most bytes of bodies that the entry holds at once to send them again.
-const HELD_TOTAL: usize = 8 * 1024 * 1024;
+/// Maximum total size of the request bodies that the entry buffers for retries, in bytes.
+const BUFFERED_TOTAL: usize = 8 * 1024 * 1024;
 
-/// What the request path of a node is made of.
+/// Components and settings of [`Traffic`].
 pub struct Parts {
-    /// The node.
+    /// This node's id.
     pub node: NodeId,
-    /// Where it stands.
+    /// Region and availability zone of the node.
     pub place: Place,
-    /// The control thread, which publishes the views.
+    /// Handle of the control thread, which publishes the views.
     pub control: Control,
-    /// The clock.
+    /// Clock that all deadlines are based on.
     pub clock: Clock,
     /// The upstream beside the node.
     pub upstream: Upstream,
-    /// Counts faulty input.
+    /// Counter of invalid input.
     pub faults: Arc<Faults>,
-    /// Proofs of requests between nodes.
+    /// Signs and verifies requests between nodes.
     pub proofs: Proofs,
-    /// Counts answers, refusals and retries.
+    /// Counters of answers, refusals and retries.
     pub counts: Counts,
     /// Where the configuration comes from.
     pub origin: Origin,
-    /// Header fields that callers and upstreams know.
+    /// Header names used with callers and upstreams.
     pub dialect: Dialect,
-    /// The service of the upstream beside the node.
+    /// Service of the upstream beside the node.
     pub service: Option<Name>,
-    /// What the host's link carries, in Mbit/s.
+    /// Bandwidth of the host's link, in Mbit/s.
     pub link: f64,
 }
 
 impl Traffic {
-    /// Starts the request path. Must be called inside a tokio runtime.
+    /// Starts the request path and its maintenance task. Must be called inside a tokio runtime.
     pub fn start(parts: Parts) -> Traffic {
         let Parts {
             node,
@@ -161,7 +161,7 @@
             node,
             control,
             gate: Gate::new(clock.clone(), origin),
-            link: Link::new(link),
+            link: LinkBudget::new(link),
             clock,
             upstream,
             peers: Peers::default(),
@@ -173,10 +173,10 @@
             dialect,
             service,
             limiter: Mutex::default(),
-            reports: Reports::default(),
-            held: Budget::new(HELD_TOTAL),
+            request_log: RequestLog::default(),
+            buffered: Budget::new(BUFFERED_TOTAL),
             draining: AtomicBool::new(false),
-            closing: watch::Sender::new(false),
+            stopping: watch::Sender::new(false),
             suspects: Arc::new(Semaphore::new(1)),
             claims: Arc::new(Semaphore::new(CLAIMS_MAX)),
             owned: AtomicUsize::new(0),
@@ -190,7 +190,7 @@
                 let Some(traffic) = shared.upgrade().map(Traffic) else {
                     return;
                 };
-                traffic.follow(&traffic.view());
+                traffic.update_gate(&traffic.view());
                 traffic.0.gate.tick();
                 if count.is_multiple_of(PRUNE_TICKS) {
                     traffic.0.peers.prune();
@@ -200,7 +200,7 @@
         traffic
     }
 
-    /// Serves one caller's connection.
+    /// Returns the service for one connection of a caller.
     pub fn entry(
         &self,
         peer: SocketAddr,
@@ -215,11 +215,12 @@
         let traffic = self.clone();
         tower::service_fn(move |request| {
             let traffic = traffic.clone();
-            async move { Ok(traffic.enter(request, peer).await) }
+            async move { Ok(traffic.handle_caller(request, peer).await) }
         })
     }
 
-    /// Serves one connection of another node; requests without a proof are refused before any is read.
+    /// Returns the service for one connection of another node. Requests without a valid proof are rejected
+    /// before their body is read.
     pub fn owner(
         &self,
         peer: SocketAddr,
@@ -238,16 +239,17 @@
                 match traffic.0.proofs.check(&request) {
                     Ok(()) => {
                         Line::admit(&request);
-                        Ok(traffic.own(request.map(Body::new)).await)
+                        Ok(traffic.handle_forwarded(request.map(Body::new)).await)
                     }
-                    Err(unproven) => Ok(traffic.refuse(&request, unproven, peer)),
+                    Err(unproven) => Ok(traffic.reject(&request, unproven, peer)),
                 }
             }
         })
     }
 
-    /// The answer carries the exchange's number, or an entry would take it for another's and say "unknown".
-    fn refuse(
+    /// Rejects a request without a valid proof. The answer echoes the exchange number; without it the entry
+    /// would report the outcome as unknown.
+    fn reject(
         &self,
         request: &Request<Incoming>,
         unproven: Unproven,
@@ -262,53 +264,55 @@
         response
     }
 
-    /// Refuses new work for the upstream beside this node from now on; requests of callers go elsewhere.
+    /// Rejects new requests for the upstream beside this node from now on; the entry sends callers' requests to
+    /// other nodes.
     pub fn drain(&self) {
         self.0.draining.store(true, Ordering::SeqCst);
-        self.follow(&self.view());
+        self.update_gate(&self.view());
     }
 
-    /// Answers every request of a caller that is still in progress: not run if it was never handed on, else unknown.
-    pub fn give_up(&self) {
-        self.0.closing.send_replace(true);
+    /// Answers every pending request of a caller: "not run" if it was not forwarded yet, else "unknown".
+    pub fn answer_pending(&self) {
+        self.0.stopping.send_replace(true);
     }
 
-    /// Requests of callers in progress at this entry.
-    pub fn carried(&self) -> usize {
-        self.0.closing.receiver_count()
+    /// Returns the number of callers' requests in progress at this entry.
+    pub fn in_progress(&self) -> usize {
+        self.0.stopping.receiver_count()
     }
 
-    /// Requests at the upstream beside this node, and outcomes of theirs that are not kept yet.
+    /// Returns the number of requests at the upstream beside this node, and of outcomes that are not stored
+    /// yet.
     pub fn owned(&self) -> usize {
         self.0.owned.load(Ordering::SeqCst)
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> &Counts {
         &self.0.counts
     }
 
-    /// Faults by kind since the start.
+    /// Returns the number of faults by kind since the start.
     pub fn faults(&self) -> Vec<(&'static str, u64)> {
         self.0.faults.totals()
     }
 
-    /// Claims on their way.
+    /// Returns the number of claim requests in flight.
     pub fn claiming(&self) -> usize {
         CLAIMS_MAX.saturating_sub(self.0.claims.available_permits())
     }
 
-    /// Admission to the upstream at present.
+    /// Returns the current state of admission to the upstream.
     pub fn admission(&self) -> Gauges {
         self.0.gate.gauges()
     }
 
-    /// Whether new work for the upstream is refused.
+    /// Returns whether new requests for the upstream are rejected.
     pub fn draining(&self) -> bool {
         self.0.draining.load(Ordering::SeqCst)
     }
 
-    /// Attempts beyond each request's first that this entry made so far.
+    /// Returns the number of retries that this entry has made.
     pub fn retries(&self) -> u64 {
         self.0.counts.retries()
     }
@@ -321,7 +325,7 @@
         self.0.clock.now()
     }
 
-    /// The moment of `deadline` for timers.
+    /// Converts `deadline` to an instant for tokio's timers.
     fn instant(&self, deadline: Deadline) -> Instant {
         Instant::now() + Duration::from_millis(deadline.left(self.now()))
     }
--- a/crates/node/src/traffic/answer.rs
+++ b/crates/node/src/traffic/answer.rs
@@ -1,4 +1,4 @@
-//! The owner's second half: takes the upstream's answer and says what became of the request.
+//! Owner side: receives the upstream's answer and determines the outcome of the request.
 
 use std::sync::atomic::Ordering;
 
@@ -28,62 +28,65 @@
     pool::Lease,
 };
 
-/// Answers of up to this many bytes are read whole before any of it goes on to the caller.
+/// Largest answer that is read whole before any of it is forwarded, in bytes.
 const WHOLE_MAX: u64 = 64 * 1024;
 
-/// What the upstream gave.
+/// Answer of the upstream.
 pub(super) enum Answer {
-    /// It was read whole.
+    /// Read whole.
     Whole(http::response::Parts, Bytes),
-    /// It is still arriving.
+    /// Still arriving.
     Streamed(Response<Body>),
 }
 
-/// A request at the upstream.
-pub(super) struct Running {
+/// A request that is running at the upstream.
+pub(super) struct RunningRequest {
     pub(super) run: Run,
     pub(super) slot: Slot,
     pub(super) suspect: Option<Suspect>,
 }
 
-/// A request that was in flight in one crash.
+/// A request that was in flight when an upstream crashed.
 pub(super) struct Suspect {
-    pub(super) print: Fingerprint,
-    pub(super) _turn: OwnedSemaphorePermit,
+    pub(super) fingerprint: Fingerprint,
+    pub(super) _permit: OwnedSemaphorePermit,
 }
 
 impl Traffic {
-    /// Takes the answer of `job`, whole or as it arrives.
-    pub(super) async fn answer(
+    /// Receives the answer of `job`, whole or as a stream.
+    pub(super) async fn receive_answer(
         &self,
         job: &Job,
-        run: Running,
+        run: RunningRequest,
         lease: Lease,
         answer: Response<Incoming>,
         limit: Instant,
     ) -> Result<Answer, Denial> {
-        if !self.0.dialect.belongs(&job.headers, answer.headers()) {
-            // Dropping the lease closes the connection: what else arrives on it belongs to nobody.
+        if !self
+            .0
+            .dialect
+            .answer_matches(&job.headers, answer.headers())
+        {
+            // Dropping the lease closes the connection; further bytes on it cannot be assigned to a request.
             run.slot.finish(Finish::Failed);
-            let why =
-                "the upstream sent the answer to another request: the request may have been run";
+            let why = "the upstream sent the answer of another request, which was dropped; this request may have been run";
             return Err(Denial::unknown("crossed", why));
         }
-        if self.0.dialect.unrun(answer.status(), answer.headers()) {
-            return Err(self.unrun(run, lease, answer));
+        if self.0.dialect.is_not_run(answer.status(), answer.headers()) {
+            return Err(self.rejected_by_upstream(run, lease, answer));
         }
         let length = answer.body().size_hint();
         let chunked = answer.headers().contains_key(header::TRANSFER_ENCODING);
         let framed = length.exact().is_some() || chunked;
         if !framed && self.0.origin == Origin::Submitted {
-            // Such a body ends when its connection does: one cut by a crash would look whole.
+            // Such a body ends with its connection, so a truncated one would look whole.
             run.slot.finish(Finish::Failed);
-            let why = "the upstream's answer has no length: send Content-Length or chunks";
+            let why = "the upstream's answer has neither Content-Length nor chunked encoding and was dropped; the upstream must send one of them";
             return Err(Denial::unknown("unframed-answer", why));
         }
         if length.lower() > job.limit {
             run.slot.finish(Finish::Answered);
-            return Err(unfit());
+            return Err(answer_too_long());
         }
         let (mut parts, incoming) = answer.into_parts();
         headers::strip_hop(&mut parts.headers);
@@ -95,85 +98,94 @@
             let bytes = body::collect(incoming, job.limit, limit).await;
             return match bytes {
                 Ok(bytes) => {
-                    self.whole(run, lease);
+                    self.complete(run, lease);
                     Ok(Answer::Whole(parts, bytes))
                 }
-                Err(fault) => Err(self.cut(run, fault)),
+                Err(fault) => Err(self.incomplete(run, fault)),
             };
         }
         let traffic = self.clone();
         let body = body::pump(incoming, job.limit, limit, move |end| match end {
-            End::Whole => traffic.whole(run, lease),
-            End::Failed(fault) => drop(traffic.cut(run, fault)),
+            End::Whole => traffic.complete(run, lease),
+            End::Failed(fault) => drop(traffic.incomplete(run, fault)),
             End::Dropped => drop((run, lease)),
         });
         Ok(Answer::Streamed(Response::from_parts(parts, body)))
     }
 
-    /// The upstream says that it did not run the request.
-    fn unrun(&self, run: Running, lease: Lease, answer: Response<Incoming>) -> Denial {
+    /// Handles an answer by which the upstream rejects the request without running it.
+    fn rejected_by_upstream(
+        &self,
+        run: RunningRequest,
+        lease: Lease,
+        answer: Response<Incoming>,
+    ) -> Denial {
         if answer.status() == StatusCode::MISDIRECTED_REQUEST {
-            // Another process has the address: nothing more goes there before the next announcement.
+            // Another process listens at the address: nothing is sent there until the next announcement.
             run.slot.finish(Finish::Failed);
-            self.0.upstream.replaced();
+            self.0.upstream.withdraw_replaced();
             return Denial::Refused(Refusal::after(Reason::NotReady, 0));
         }
         run.slot.finish(Finish::Overloaded);
         if answer.body().is_end_stream() {
             lease.put_back();
         }
-        Denial::Refused(shed(&answer))
+        Denial::Refused(shed_refusal(&answer))
     }
 
-    fn whole(&self, run: Running, lease: Lease) {
+    fn complete(&self, run: RunningRequest, lease: Lease) {
         lease.put_back();
         run.slot.finish(Finish::Answered);
-        self.0.upstream.served();
-        self.0.upstream.answered(run.run.print());
+        self.0.upstream.observe_answer();
+        self.0.upstream.remember_answered(run.run.fingerprint());
         if let Some(suspect) = run.suspect {
             let survived = guard::Call::Survived {
-                print: suspect.print,
+                print: suspect.fingerprint,
             };
-            self.0.upstream.tell(survived);
+            self.0.upstream.notify_guard(survived);
         }
     }
 
-    /// The answer began and did not arrive whole.
-    fn cut(&self, run: Running, fault: BodyFault) -> Denial {
+    /// Returns the denial for an answer that began but did not arrive whole.
+    fn incomplete(&self, run: RunningRequest, fault: BodyFault) -> Denial {
         match fault {
             BodyFault::TooLong => {
                 run.slot.finish(Finish::Answered);
-                unfit()
+                answer_too_long()
             }
-            BodyFault::Late => late(run.slot),
+            BodyFault::Late => deadline_missed(run.slot),
             BodyFault::Cut => {
                 run.slot.finish(Finish::Failed);
                 run.run.lost();
                 Denial::unknown(
                     "answer-cut",
-                    "the upstream's answer ended early and was dropped",
+                    "the upstream's answer ended early and was dropped; the request may have been run",
                 )
             }
         }
     }
 
-    /// The connection broke before an answer.
-    pub(super) fn lost(&self, payload: &Payload, run: Running) -> Denial {
+    /// Returns the denial for a connection that broke before the answer.
+    pub(super) fn connection_lost(&self, payload: &Payload, run: RunningRequest) -> Denial {
         run.slot.finish(Finish::Failed);
         if let Payload::Streamed(_, broken) = payload
             && broken.load(Ordering::SeqCst)
         {
-            // Its caller cut the request, not the upstream the connection.
-            return Denial::unknown("body-cut", "the body ended early: send it again whole");
+            // The caller's connection broke, not the upstream's.
+            return Denial::unknown(
+                "body-cut",
+                "the request body ended early; send the request again with its whole body",
+            );
         }
         run.run.lost();
-        let why = "the upstream broke the connection: the request may have been run";
+        let why =
+            "the upstream closed the connection before it answered; the request may have been run";
         Denial::unknown("upstream-lost", why)
     }
 }
 
-/// When an upstream that shed a request wants it again.
-fn shed(answer: &Response<Incoming>) -> Refusal {
+/// Returns the refusal for a request that the upstream shed, with its retry delay.
+fn shed_refusal(answer: &Response<Incoming>) -> Refusal {
     let headers = answer.headers();
     let after = headers::number(headers, &RETRY_AFTER_MS).ok().flatten();
     let seconds = headers::number(headers, &header::RETRY_AFTER)
@@ -183,16 +195,15 @@
     Refusal::after(Reason::Shed, after.unwrap_or(0))
 }
 
-pub(super) fn late(slot: Slot) -> Denial {
+pub(super) fn deadline_missed(slot: Slot) -> Denial {
     slot.finish(Finish::Overloaded);
-    let why = "no whole answer by the deadline: the request may have been run";
+    let why = "no complete answer by the deadline; the request may have been run";
     Denial::unknown(denial::DEADLINE, why)
 }
 
-fn unfit() -> Denial {
-    let why =
-        "the upstream's answer is longer than limits.body of the service's document; raise it";
-    Denial::Unfit {
+fn answer_too_long() -> Denial {
+    let why = "the upstream's answer is longer than limits.body of the service's document; raise that limit";
+    Denial::Undeliverable {
         why: why.to_owned(),
     }
 }
--- a/crates/node/src/traffic/body.rs
+++ b/crates/node/src/traffic/body.rs
@@ -1,4 +1,5 @@
-//! Message bodies: bounded, counted, and handed back when nobody read them.
+//! Message bodies with limits on size and time, a memory budget for buffered bodies, and bodies that can be
+//! reclaimed while unread.
 
 use std::{
     future::Future,
@@ -17,23 +18,27 @@
     time::{Instant, Sleep, timeout_at},
 };
 
-/// Why a body is not whole.
+/// Reason why a body is incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyFault {
-    /// It is longer than the document allows.
-    #[error("the body is longer than limits.body of the service's document; send less")]
+    /// Longer than the document allows.
+    #[error(
+        "the body is longer than limits.body of the service's document; send a shorter body or raise that limit"
+    )]
     TooLong,
-    /// It ended before its declared length, or its connection broke.
-    #[error("the body ended early; send it again whole")]
+    /// Ended before its declared length, or its connection broke.
+    #[error(
+        "the body ended before its declared length; send the request again with its whole body"
+    )]
     Cut,
-    /// It was not complete at the deadline.
+    /// Not complete at the deadline.
     #[error(
         "the body was not complete at the deadline; send it faster or raise the route's deadline"
     )]
     Late,
 }
 
-/// Reads a whole body of at most `limit` bytes until `deadline`.
+/// Reads a whole body of at most `limit` bytes, until `deadline`.
 pub async fn collect<B>(body: B, limit: u64, deadline: Instant) -> Result<Bytes, BodyFault>
 where
     B: HttpBody<Data = Bytes> + Unpin,
@@ -42,13 +47,13 @@
     if hint.lower() > limit {
         return Err(BodyFault::TooLong);
     }
-    match timeout_at(deadline, gather(body, limit)).await {
+    match timeout_at(deadline, read_frames(body, limit)).await {
         Ok(result) => result,
         Err(_) => Err(BodyFault::Late),
     }
 }
 
-async fn gather<B>(mut body: B, limit: u64) -> Result<Bytes, BodyFault>
+async fn read_frames<B>(mut body: B, limit: u64) -> Result<Bytes, BodyFault>
 where
     B: HttpBody<Data = Bytes> + Unpin,
 {
@@ -63,7 +68,7 @@
         if (whole.len() + parts.len() + data.len()) as u64 > limit {
             return Err(BodyFault::TooLong);
         }
-        // One frame is the common case and is kept without a copy.
+        // A body of one frame, the common case, is not copied.
         match whole.is_empty() && parts.is_empty() {
             true => whole = data,
             false => {
@@ -82,25 +87,25 @@
     }
 }
 
-/// Bytes that all bodies held at once may take; cheap to clone.
+/// Memory budget shared by all buffered bodies; cheap to clone.
 ///
-/// Each body is bounded by itself, but a thousand callers that fail at once would hold a thousand of them.
+/// The limit for each body alone does not bound the memory that many simultaneous callers take.
 #[derive(Clone, Debug)]
 pub struct Budget(Arc<Semaphore>);
 
-/// A part of a [`Budget`], given back when dropped.
+/// Part of a [`Budget`], returned when dropped.
 #[derive(Debug)]
 pub struct Share {
     _permit: OwnedSemaphorePermit,
 }
 
 impl Budget {
-    /// A budget of `bytes`.
+    /// Creates a budget of `bytes`.
     pub fn new(bytes: usize) -> Budget {
         Budget(Arc::new(Semaphore::new(bytes)))
     }
 
-    /// Takes `bytes`; `None` if fewer are left.
+    /// Takes `bytes` from the budget; `None` if fewer are left.
     pub fn take(&self, bytes: u64) -> Option<Share> {
         let bytes = u32::try_from(bytes).ok()?;
         let permit = self.0.clone().try_acquire_many_owned(bytes);
@@ -111,27 +116,27 @@
 /// How a body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// It was read whole.
+    /// Read whole.
     Whole,
-    /// It failed.
+    /// Failed.
     Failed(BodyFault),
-    /// Its reader left.
+    /// Dropped by its reader.
     Dropped,
 }
 
-/// A body that fails at a limit, at the deadline and short of its declared length, and tells `ended` once how
-/// it ended.
+/// A body that fails at the size limit, at the deadline, or if it ends short of its declared length. Calls
+/// `ended` once with the result.
 pub struct Bounded<B, F: FnOnce(End)> {
     inner: B,
     left: u64,
-    /// Bytes that the sender declared and has not sent yet.
+    /// Declared bytes that have not arrived yet.
     missing: Option<u64>,
     timer: Pin<Box<Sleep>>,
     ended: Option<F>,
 }
 
 impl<B: HttpBody, F: FnOnce(End)> Bounded<B, F> {
-    /// Bounds `inner` to `limit` bytes until `deadline`.
+    /// Limits `inner` to `limit` bytes until `deadline`.
     pub fn new(inner: B, limit: u64, deadline: Instant, ended: F) -> Bounded<B, F> {
         Bounded {
             missing: inner.size_hint().exact(),
@@ -175,7 +180,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        // A reader that trusts this asks no further, so it is only told once the end was noted.
+        // True only after `ended` was called, since a reader that sees true does not poll again.
         self.ended.is_none() && self.inner.is_end_stream()
     }
 
@@ -208,7 +213,7 @@
 
 impl<B, F: FnOnce(End)> Drop for Bounded<B, F> {
     fn drop(&mut self) {
-        // Many readers stop at the last declared byte without asking for the end.
+        // Many readers stop at the last declared byte without polling for the end.
         let end = match self.missing {
             Some(0) => End::Whole,
             _ => End::Dropped,
@@ -217,12 +222,11 @@
     }
 }
 
-/// A request body that can be taken back as long as none of its bytes were read.
+/// A request body that can be reclaimed as long as none of its bytes were read.
 ///
-/// A refusal that says not run leaves the request free to go elsewhere, but only whole: a body of which
-/// even one byte went to the first upstream would arrive short at the second.
+/// A request that was not run may be sent to another upstream only with its whole body.
 #[derive(Clone)]
-pub struct Intact(Arc<Mutex<Reading>>);
+pub struct ReclaimableBody(Arc<Mutex<Reading>>);
 
 enum Reading {
     Untouched(Body),
@@ -230,13 +234,13 @@
     Taken,
 }
 
-impl Intact {
+impl ReclaimableBody {
     /// Wraps `body`; clones share it.
-    pub fn new(body: Body) -> Intact {
-        Intact(Arc::new(Mutex::new(Reading::Untouched(body))))
+    pub fn new(body: Body) -> ReclaimableBody {
+        ReclaimableBody(Arc::new(Mutex::new(Reading::Untouched(body))))
     }
 
-    /// Takes the body back if nothing was read; other clones then fail.
+    /// Takes the body back if nothing was read; reading from other clones then fails.
     pub fn reclaim(&self) -> Option<Body> {
         let mut reading = self.lock();
         match std::mem::replace(&mut *reading, Reading::Taken) {
@@ -250,7 +254,7 @@
     }
 }
 
-impl HttpBody for Intact {
+impl HttpBody for ReclaimableBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -290,13 +294,14 @@
     }
 }
 
-/// Frames that wait between an upstream and a slow reader.
+/// Maximum number of frames buffered between an upstream and a slow reader.
 const PUMP_FRAMES: usize = 4;
 
-/// A body that a task of its own reads, so that a reader that stalls cannot put off `ended` past the deadline.
+/// Returns a body that is read by a separate task, so that `ended` is called by the deadline even if the reader
+/// stalls.
 ///
-/// HTTP/2 flow control stops polling a body whose reader does not read. Without the task the deadline
-/// would never be looked at, and one stalled reader would keep a slot of the upstream for good.
+/// HTTP/2 flow control stops polling the body of a stalled reader, so its own timer would not run and the
+/// reader would occupy a slot of the upstream.
 pub fn pump<B, F>(inner: B, limit: u64, deadline: Instant, ended: F) -> Body
 where
     B: HttpBody<Data = Bytes> + Unpin + Send + 'static,
@@ -309,34 +314,34 @@
         let work = async {
             while let Some(frame) = body.frame().await {
                 let last = frame.is_err();
-                if sender.send(Piece::Frame(frame)).await.is_err() || last {
+                if sender.send(PumpItem::Frame(frame)).await.is_err() || last {
                     return;
                 }
             }
-            // The reader sees the end only after it: a dropped channel alone counts as a cut body.
-            let _ = sender.send(Piece::End).await;
+            // The end is sent explicitly: a closed channel alone counts as a truncated body.
+            let _ = sender.send(PumpItem::End).await;
         };
         tokio::select! {
             () = work => {}
-            // The reader left: drop the upstream's answer at once rather than at its next byte.
+            // The reader is gone: drop the upstream's answer at once rather than at its next byte.
             () = sender.closed() => {}
             () = tokio::time::sleep_until(deadline + Duration::from_millis(1)) => {}
         }
     });
-    Body::new(Pumped { frames, hint })
+    Body::new(PumpedBody { frames, hint })
 }
 
-struct Pumped {
-    frames: mpsc::Receiver<Piece>,
+struct PumpedBody {
+    frames: mpsc::Receiver<PumpItem>,
     hint: SizeHint,
 }
 
-enum Piece {
+enum PumpItem {
     Frame(Result<Frame<Bytes>, BoxError>),
     End,
 }
 
-impl HttpBody for Pumped {
+impl HttpBody for PumpedBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -345,8 +350,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         self.frames.poll_recv(cx).map(|it| match it {
-            Some(Piece::Frame(frame)) => Some(frame),
-            Some(Piece::End) => None,
+            Some(PumpItem::Frame(frame)) => Some(frame),
+            Some(PumpItem::End) => None,
             None => Some(Err(BodyFault::Cut.into())),
         })
     }
--- a/crates/node/src/traffic/counts.rs
+++ b/crates/node/src/traffic/counts.rs
@@ -1,4 +1,4 @@
-//! What the request path counted since the process started.
+//! Counters of the request path since the process started.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -16,40 +16,44 @@
 pub struct Counts {
     outcomes: [AtomicU64; 3],
     reasons: [AtomicU64; REASONS.len()],
-    claims: [AtomicU64; Claimed::ALL.len()],
+    claims: [AtomicU64; ClaimResult::ALL.len()],
     retries: AtomicU64,
     latency: Histogram<f64>,
 }
 
-/// What a caller can be told of its request, in the order of the counters.
+/// Outcomes of a request, in the order of the counters.
 static OUTCOMES: [HeaderValue; 3] = [RAN, NOT_RUN, UNKNOWN];
 
-/// What became of a claim.
+/// Result of a claim request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimResult {
     /// The request may run.
     Granted,
-    /// It ran before, and its kept answer was given.
+    /// The request ran before, and its stored answer was returned.
     Replayed,
-    /// Neither: it was not run, or nobody knows.
+    /// The request may not run, or its earlier outcome is unknown.
     Refused,
 }
 
-impl Claimed {
-    /// Each of them, in the order of the counters.
-    const ALL: [Claimed; 3] = [Claimed::Granted, Claimed::Replayed, Claimed::Refused];
+impl ClaimResult {
+    /// All results, in the order of the counters.
+    const ALL: [ClaimResult; 3] = [
+        ClaimResult::Granted,
+        ClaimResult::Replayed,
+        ClaimResult::Refused,
+    ];
 
     fn name(self) -> &'static str {
         match self {
-            Claimed::Granted => "granted",
-            Claimed::Replayed => "replayed",
-            Claimed::Refused => "refused",
+            ClaimResult::Granted => "granted",
+            ClaimResult::Replayed => "replayed",
+            ClaimResult::Refused => "refused",
         }
     }
 }
 
 impl Counts {
-    /// Nothing counted yet; latencies go to `latency` in seconds.
+    /// Creates zero counters; latencies are recorded in `latency`, in seconds.
     pub fn new(latency: Histogram<f64>) -> Counts {
         Counts {
             outcomes: Default::default(),
@@ -60,10 +64,10 @@
         }
     }
 
-    /// A caller got an answer with these headers.
-    pub fn answered(&self, headers: &HeaderMap) {
+    /// Counts an answer to a caller by its headers.
+    pub fn count_answer(&self, headers: &HeaderMap) {
         let outcome = headers.get(OUTCOME);
-        count(
+        increment(
             &self.outcomes,
             OUTCOMES.iter().position(|it| Some(it) == outcome),
         );
@@ -72,63 +76,64 @@
         }
         let reason = headers.get(REASON);
         let reason = reason.and_then(|it| it.to_str().ok());
-        count(
+        increment(
             &self.reasons,
             REASONS.iter().position(|it| Some(it.as_str()) == reason),
         );
     }
 
-    /// The head of an answer to a request of `class` went out `took` ms after the request's came in.
-    pub fn took(&self, class: Class, took: u64) {
+    /// Records that the head of an answer to a request of `class` was sent `took` ms after the request's head
+    /// arrived.
+    pub fn record_latency(&self, class: Class, took: u64) {
         let class = KeyValue::new("class", class_name(class));
-        // Times are far below 2^52 ms, up to which the conversion is exact.
+        // The conversion is exact up to 2^52 ms.
         self.latency.record(took as f64 / 1_000.0, &[class]);
     }
 
-    /// A request is sent once more.
-    pub fn retried(&self) {
+    /// Counts a retry.
+    pub fn count_retry(&self) {
         self.retries.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A claim ended.
-    pub fn claimed(&self, claimed: Claimed) {
-        count(
+    /// Counts a claim request by its result.
+    pub fn count_claim(&self, result: ClaimResult) {
+        increment(
             &self.claims,
-            Claimed::ALL.iter().position(|it| *it == claimed),
+            ClaimResult::ALL.iter().position(|it| *it == result),
         );
     }
 
-    /// Answers by outcome.
+    /// Returns the number of answers by outcome.
     pub fn outcomes(&self) -> Vec<(&'static str, u64)> {
         let names = ["ran", "not-run", "unknown"];
-        names.into_iter().zip(read(&self.outcomes)).collect()
+        names.into_iter().zip(values(&self.outcomes)).collect()
     }
 
-    /// Refusals by reason.
+    /// Returns the number of refusals by reason.
     pub fn reasons(&self) -> Vec<(&'static str, u64)> {
         let names = REASONS.map(Reason::as_str);
-        names.into_iter().zip(read(&self.reasons)).collect()
+        names.into_iter().zip(values(&self.reasons)).collect()
     }
 
-    /// Claims by what became of them.
+    /// Returns the number of claim requests by result.
     pub fn claims(&self) -> Vec<(&'static str, u64)> {
-        let names = Claimed::ALL.map(Claimed::name);
-        names.into_iter().zip(read(&self.claims)).collect()
+        let names = ClaimResult::ALL.map(ClaimResult::name);
+        names.into_iter().zip(values(&self.claims)).collect()
     }
 
-    /// Requests sent once more.
+    /// Returns the number of retries.
     pub fn retries(&self) -> u64 {
         self.retries.load(Ordering::Relaxed)
     }
 }
 
-fn count(counters: &[AtomicU64], idx: Option<usize>) {
+fn increment(counters: &[AtomicU64], idx: Option<usize>) {
     if let Some(counter) = idx.and_then(|it| counters.get(it)) {
         counter.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-fn read(counters: &[AtomicU64]) -> impl Iterator<Item = u64> {
+fn values(counters: &[AtomicU64]) -> impl Iterator<Item = u64> {
     counters.iter().map(|it| it.load(Ordering::Relaxed))
 }
 
--- a/crates/node/src/traffic/denial.rs
+++ b/crates/node/src/traffic/denial.rs
@@ -1,4 +1,4 @@
-//! Answers of the system itself: refusals and lost answers.
+//! Answers that a node generates itself: refusals and lost answers.
 
 use axum::body::Body;
 use http::{HeaderValue, Response, StatusCode, header};
@@ -9,41 +9,41 @@
     headers::{NOT_RUN, OUTCOME, RAN, REASON, RETRY_AFTER_MS, UNKNOWN},
 };
 
-/// Why a caller gets no answer of an upstream.
+/// Reason why a caller gets no answer of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// The request was not run and would be refused again unchanged.
+    /// The request was not run and would be rejected again if sent unchanged.
     Bad {
         /// HTTP status.
         status: StatusCode,
         /// Stable name of the fault.
         reason: &'static str,
-        /// What to do about it.
+        /// What happened and what to do about it.
         why: String,
     },
     /// The request was not run and may be sent again.
     Refused(Refusal),
     /// Another run of the same idempotency key is in progress; this one was not run.
     Busy {
-        /// When to come back, in ms.
+        /// Time until a retry, in ms.
         after: u64,
     },
     /// The request may or may not have been run.
     Unknown {
         /// Stable name of the fault.
         reason: &'static str,
-        /// What happened.
+        /// What happened and what to do about it.
         why: String,
     },
-    /// The request was run and its answer cannot be handed on.
-    Unfit {
-        /// What to do about it.
+    /// The request was run, but its answer cannot be forwarded.
+    Undeliverable {
+        /// What happened and what to do about it.
         why: String,
     },
 }
 
 impl Denial {
-    /// A request that is faulty in itself.
+    /// Creates the denial of an invalid request.
     pub fn bad(status: StatusCode, reason: &'static str, why: impl Into<String>) -> Denial {
         let why = why.into();
         Denial::Bad {
@@ -53,14 +53,14 @@
         }
     }
 
-    /// A lost answer.
+    /// Creates the denial for a request of unknown outcome.
     pub fn unknown(reason: &'static str, why: impl Into<String>) -> Denial {
         let why = why.into();
         Denial::Unknown { reason, why }
     }
 
-    /// A request whose body did not arrive whole; nothing of it was passed on.
-    pub fn of_body(fault: BodyFault) -> Denial {
+    /// Creates the denial of a request whose body did not arrive whole and was not forwarded.
+    pub fn from_body_fault(fault: BodyFault) -> Denial {
         let reason = match fault {
             BodyFault::TooLong => BODY_TOO_LONG,
             BodyFault::Cut => BODY_CUT,
@@ -69,30 +69,31 @@
         Denial::bad(status_of(reason), reason, fault.to_string())
     }
 
-    /// What is left to say if an earlier attempt of the same request may have run.
+    /// Returns the denial if an earlier attempt of the same request may have run.
     ///
-    /// "Not run" is then true of the last attempt alone: a caller that trusts it would run the request twice.
-    pub fn doubted(self) -> Denial {
+    /// The outcome "not run" would only be true of the last attempt, and the caller could run the request
+    /// twice.
+    pub fn after_unknown_attempt(self) -> Denial {
         match self {
             Denial::Bad { .. } | Denial::Refused(_) | Denial::Busy { .. } => Denial::unknown(
                 EARLIER_ATTEMPT,
-                "an earlier attempt may have been run and later ones were refused; ask again if you may",
+                "an earlier attempt may have been run and later ones were rejected; retry if that is safe",
             ),
-            Denial::Unknown { .. } | Denial::Unfit { .. } => self,
+            Denial::Unknown { .. } | Denial::Undeliverable { .. } => self,
         }
     }
 
-    /// Stable name, used in headers, logs and metrics.
+    /// Returns the stable name used in headers, logs and metrics.
     pub fn reason(&self) -> &'static str {
         match self {
             Denial::Bad { reason, .. } | Denial::Unknown { reason, .. } => reason,
             Denial::Refused(refusal) => refusal.reason.as_str(),
             Denial::Busy { .. } => "in-progress",
-            Denial::Unfit { .. } => "answer-too-long",
+            Denial::Undeliverable { .. } => "answer-too-long",
         }
     }
 
-    /// The answer to the caller.
+    /// Returns the answer to the caller.
     pub fn response(&self) -> Response<Body> {
         let mut response = Response::new(Body::from(format!("{}\n", self.text())));
         *response.status_mut() = self.status();
@@ -114,7 +115,7 @@
         match self {
             Denial::Bad { .. } | Denial::Refused(_) | Denial::Busy { .. } => NOT_RUN,
             Denial::Unknown { .. } => UNKNOWN,
-            Denial::Unfit { .. } => RAN,
+            Denial::Undeliverable { .. } => RAN,
         }
     }
 
@@ -122,7 +123,7 @@
         match self {
             Denial::Refused(refusal) => Some(refusal.after),
             Denial::Busy { after } => Some(*after),
-            Denial::Bad { .. } | Denial::Unknown { .. } | Denial::Unfit { .. } => None,
+            Denial::Bad { .. } | Denial::Unknown { .. } | Denial::Undeliverable { .. } => None,
         }
     }
 
@@ -136,39 +137,39 @@
             },
             Denial::Busy { .. } => StatusCode::CONFLICT,
             Denial::Unknown { reason, .. } => status_of(reason),
-            Denial::Unfit { .. } => StatusCode::BAD_GATEWAY,
+            Denial::Undeliverable { .. } => StatusCode::BAD_GATEWAY,
         }
     }
 
     fn text(&self) -> String {
         match self {
-            Denial::Bad { why, .. } | Denial::Unknown { why, .. } | Denial::Unfit { why } => {
-                why.clone()
-            }
+            Denial::Bad { why, .. }
+            | Denial::Unknown { why, .. }
+            | Denial::Undeliverable { why } => why.clone(),
             Denial::Refused(refusal) => {
                 format!("not run ({}); {}", refusal.reason, remedy(refusal))
             }
             Denial::Busy { after } => format!(
-                "not run: another request with this Idempotency-Key is in progress; come back in {after} ms"
+                "not run: another request with this Idempotency-Key is in progress; retry in {after} ms"
             ),
         }
     }
 }
 
-/// Reason of a request at the port for nodes that proves no key.
+/// Reason of a request on the port for nodes without a valid proof.
 pub const UNPROVEN: &str = "unproven";
-/// Reason of an answer that did not arrive by the deadline.
+/// Reason of a request whose answer did not arrive by the deadline.
 pub const DEADLINE: &str = "deadline";
-/// Reason of a request that was refused after an attempt that may have run.
+/// Reason of a request that was rejected after an attempt that may have run.
 pub const EARLIER_ATTEMPT: &str = "earlier-attempt-unknown";
-/// Reason of a key whose earlier run may have taken effect.
+/// Reason of an idempotency key whose earlier run may have taken effect.
 pub const CLAIMED: &str = "earlier-run-unknown";
 
 const BODY_TOO_LONG: &str = "body-too-long";
 const BODY_CUT: &str = "body-cut";
 const BODY_LATE: &str = "body-late";
 
-/// The status that tells of a fault by its stable name.
+/// Returns the HTTP status for a fault's stable name.
 fn status_of(reason: &str) -> StatusCode {
     match reason {
         DEADLINE => StatusCode::GATEWAY_TIMEOUT,
@@ -183,7 +184,7 @@
 fn remedy(refusal: &Refusal) -> String {
     use laburnum_kernel::refusal::Remedy;
     match refusal.reason.remedy() {
-        Remedy::Elsewhere | Remedy::Later => format!("come back in {} ms", refusal.after),
-        Remedy::Never => "nobody waits for the answer any more".to_owned(),
+        Remedy::Elsewhere | Remedy::Later => format!("retry in {} ms", refusal.after),
+        Remedy::Never => "the deadline has passed".to_owned(),
     }
 }
--- a/crates/node/src/traffic/dialect.rs
+++ b/crates/node/src/traffic/dialect.rs
@@ -1,41 +1,42 @@
-//! Which header fields callers and upstreams know the system by.
+//! Names of the header fields used with callers and upstreams.
 //!
-//! Between nodes the fields of [`super::headers`] are used. A deployment whose callers and upstreams know the same
-//! facts by other names gives those names here; they are translated once on the way in and once on the way
-//! out.
+//! Nodes use the fields of [`super::headers`] among themselves. A deployment whose callers and upstreams use
+//! other names for the same facts configures them here; they are translated when a request arrives and when its
+//! answer is returned.
 
 use axum::body::Body;
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode, header};
 
 use super::headers::{self, DEADLINE, NOT_RUN, OUTCOME, PREFIX, REASON, RETRY_AFTER_MS};
 
-/// How callers and upstreams are spoken to.
+/// Header fields used with callers and upstreams.
 #[derive(Clone, Debug, Default)]
 pub enum Dialect {
-    /// By the system's own header fields.
+    /// The system's own header fields.
     #[default]
     Own,
-    /// By those of a deployment.
+    /// Header fields of a deployment.
     Foreign(Fields),
 }
 
 /// Names of a deployment's header fields.
 #[derive(Clone, Debug)]
 pub struct Fields {
-    /// From callers: id of one attempt, different for each; upstreams echo it.
+    /// From callers: id of one attempt, unique for each; echoed by upstreams.
     pub id: HeaderName,
-    /// From callers and to upstreams: milliseconds left.
+    /// From callers and to upstreams: time left in ms.
     pub deadline: HeaderName,
-    /// To upstreams: the service on whose host the request began.
+    /// To upstreams: service of the host on which the request started.
     pub caller: HeaderName,
-    /// To upstreams: the instance that the request is meant for; any other answers 421 and does not run it.
+    /// To upstreams: instance that the request is meant for; any other instance answers 421 and does not run
+    /// it.
     pub expected: HeaderName,
     /// From upstreams: present on the answer to a request that was not run.
     pub unrun: HeaderName,
 }
 
 impl Dialect {
-    /// The field in which callers say how long they wait, in ms.
+    /// Returns the name of the field with the time left, in ms.
     pub fn deadline(&self) -> HeaderName {
         match self {
             Dialect::Own => DEADLINE,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The id that a request goes by in logs, if it has one.
+    /// Returns the id that identifies a request in logs, if it has one.
     pub fn id(&self, headers: &HeaderMap) -> Option<HeaderValue> {
         match self {
             Dialect::Own => None,
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Whether an upstream's answer says that it did not run the request.
-    pub fn unrun(&self, status: StatusCode, headers: &HeaderMap) -> bool {
+    /// Returns whether an upstream's answer says that the request was not run.
+    pub fn is_not_run(&self, status: StatusCode, headers: &HeaderMap) -> bool {
         match self {
             Dialect::Own => headers.get(OUTCOME) == Some(&NOT_RUN),
             Dialect::Foreign(it) => {
@@ -61,40 +62,48 @@
         }
     }
 
-    /// Whether an upstream's answer belongs to the request that it was taken for.
+    /// Returns whether an upstream's answer belongs to the given request, by the echoed id.
     ///
-    /// An upstream may send an answer twice; the second one then stands where the next request's answer is
-    /// expected, and passing it on would show one caller the answer to another. The echoed id tells them apart.
-    pub fn belongs(&self, request: &HeaderMap, answer: &HeaderMap) -> bool {
+    /// An upstream may send an answer twice; the second copy would then be taken for the answer to the next
+    /// request on the connection and disclosed to another caller.
+    pub fn answer_matches(&self, request: &HeaderMap, answer: &HeaderMap) -> bool {
         match self {
             Dialect::Own => true,
             Dialect::Foreign(it) => match (request.get(&it.id), answer.get(&it.id)) {
-                (Some(asked), Some(echoed)) => asked == echoed,
+                (Some(sent), Some(echoed)) => sent == echoed,
                 _ => true,
             },
         }
     }
 
-    /// The answer as a caller reads it; `id` is the request's.
-    pub fn answer(&self, response: Response<Body>, id: Option<HeaderValue>) -> Response<Body> {
+    /// Translates an answer for the caller; `id` is the request's.
+    pub fn translate_answer(
+        &self,
+        response: Response<Body>,
+        id: Option<HeaderValue>,
+    ) -> Response<Body> {
         match self {
             Dialect::Own => response,
-            Dialect::Foreign(it) => it.answer(response, id),
+            Dialect::Foreign(it) => it.translate_answer(response, id),
         }
     }
 }
 
 impl Fields {
-    fn answer(&self, mut response: Response<Body>, id: Option<HeaderValue>) -> Response<Body> {
+    fn translate_answer(
+        &self,
+        mut response: Response<Body>,
+        id: Option<HeaderValue>,
+    ) -> Response<Body> {
         let refusal = headers::refusal(response.headers());
-        let unrun = response.headers().get(OUTCOME) == Some(&NOT_RUN);
-        if let (true, Some(refusal)) = (unrun, refusal) {
-            // These callers take 503 alone for a promise that the request has not run.
+        let not_run = response.headers().get(OUTCOME) == Some(&NOT_RUN);
+        if let (true, Some(refusal)) = (not_run, refusal) {
+            // For these callers only a 503 guarantees that the request was not run.
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
             let seconds = format!("{:.3}", refusal.after as f64 / 1000.0);
             headers::insert_text(response.headers_mut(), header::RETRY_AFTER, &seconds);
-            // They come back on a new connection and leave this one idle; in an overload hundreds of those are most of what
-            // a node holds in memory.
+            // These callers retry on a new connection; under overload the idle old ones would use most of the
+            // node's memory.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
--- a/crates/node/src/traffic/entry.rs
+++ b/crates/node/src/traffic/entry.rs
@@ -1,4 +1,5 @@
-//! The entry: picks an owner for a request that has a [`Plan`], forwards, and retries what may be retried.
+//! Entry side: picks an owner for a request that has a [`Plan`], forwards the request, and retries it where
+//! that is safe.
 
 use std::{
     net::SocketAddr,
@@ -25,7 +26,7 @@
 
 use super::{
     Traffic,
-    body::{self, BodyFault, Bounded, End, Intact, Share},
+    body::{self, BodyFault, Bounded, End, ReclaimableBody, Share},
     denial::{Denial, UNPROVEN},
     headers::{
         self, ATTEMPT, BUDGET, DEADLINE, GOAL, KIND, NEVER, NOT_RUN, OUTCOME, PRIORITY, QUEUE, RAN,
@@ -33,53 +34,53 @@
     },
     peers,
     plan::Plan,
-    report::{Attempted, Decided, Ended},
-    services::Flight,
+    report::{EndedRequest, FailedAttempt, RouteDecision},
+    services::InFlight,
 };
 
-/// An owner does not take this node for one of its fleet.
+/// Reason that an owner gives when it rejects this node's proof.
 const UNPROVEN_VALUE: HeaderValue = HeaderValue::from_static(UNPROVEN);
-/// Bodies of up to this many bytes are held so that the request can be sent again.
-const HELD_MAX: u64 = 64 * 1024;
-/// Largest share of the time left, as its divisor, that is kept back for the way home.
+/// Largest body that is buffered for a retry, in bytes.
+const BUFFERED_MAX: u64 = 64 * 1024;
+/// Part of the remaining time, as its divisor, that is reserved for the answer's way back.
 const MARGIN_SHARE: u64 = 10;
-/// Most time kept back for the way home, in ms.
+/// Maximum of the reserved time, in ms.
 const MARGIN_MAX: u64 = 10;
 
-/// A request's way so far, for the log.
-struct Way {
+/// State of a request that is written to the log.
+struct Trace {
     id: Option<HeaderValue>,
     started: Ms,
-    decided: Option<Decided>,
+    decision: Option<RouteDecision>,
     tried: Vec<NodeId>,
 }
 
-/// The request's body, as far as it can be sent again.
+/// Body of the request.
 enum Payload {
-    /// All of it is here; `_share` is what it takes of the node's budget.
-    Held { bytes: Bytes, _share: Share },
-    /// It is passed on as it arrives; what breaks it is noted.
-    Streamed(Intact, Arc<OnceLock<BodyFault>>),
+    /// Buffered whole; `_share` is its part of the node's memory budget.
+    Buffered { bytes: Bytes, _share: Share },
+    /// Forwarded as it arrives; the cell holds the fault that broke it, if any.
+    Streamed(ReclaimableBody, Arc<OnceLock<BodyFault>>),
 }
 
-/// What the attempts so far say of the request; one under way counts as unknown.
+/// Outcome of the attempts so far; an attempt in progress counts as unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Past {
+enum PriorOutcome {
     NotRun,
     Unknown,
 }
 
-/// How one attempt ended.
+/// Result of one attempt.
 enum Attempt {
     Answered(Response<Body>),
     Failed(Failure, Response<Body>),
-    /// The owner gave an answer that no retry can better.
+    /// The owner rejected the request for a reason that no retry changes.
     Final(Response<Body>),
 }
 
 impl Traffic {
-    /// Carries one request of a caller.
-    pub(super) async fn enter(
+    /// Handles one request of a caller and always returns an answer.
+    pub(super) async fn handle_caller(
         &self,
         request: Request<Incoming>,
         peer: SocketAddr,
@@ -87,16 +88,19 @@
         let started = self.now();
         let (parts, incoming) = request.into_parts();
         let id = self.0.dialect.id(&parts.headers);
-        let mut way = Way {
+        let mut trace = Trace {
             id: id.clone(),
             started,
-            decided: None,
+            decision: None,
             tried: Vec::new(),
         };
         let (class, result) = match self.plan(parts, peer) {
             Ok(mut plan) => {
-                way.decided = plan.decided.take();
-                (Some(plan.class), self.carry(plan, incoming, &mut way).await)
+                trace.decision = plan.decision.take();
+                (
+                    Some(plan.class),
+                    self.forward_until_stop(plan, incoming, &mut trace).await,
+                )
             }
             Err(denial) => (None, Err(denial)),
         };
@@ -106,88 +110,93 @@
             }
             denial.response()
         });
-        self.0.counts.answered(response.headers());
+        self.0.counts.count_answer(response.headers());
         if let Some(class) = class {
-            self.0.counts.took(class, self.now().since(started));
+            self.0
+                .counts
+                .record_latency(class, self.now().since(started));
         }
         if self.0.origin == Origin::Imported {
-            self.tell_end(&way, &response);
+            self.log_end(&trace, &response);
         }
-        self.0.dialect.answer(response, id)
+        self.0.dialect.translate_answer(response, id)
     }
 
-    fn tell_end(&self, way: &Way, response: &Response<Body>) {
+    fn log_end(&self, trace: &Trace, response: &Response<Body>) {
         let now = self.now();
-        let ended = Ended {
-            id: way.id.as_ref(),
-            decided: way.decided.as_ref(),
-            tried: &way.tried,
-            took: now.since(way.started),
+        let ended = EndedRequest {
+            id: trace.id.as_ref(),
+            decision: trace.decision.as_ref(),
+            tried: &trace.tried,
+            took: now.since(trace.started),
             status: response.status(),
             headers: response.headers(),
         };
-        self.0.reports.ended(now, &ended);
+        self.0.request_log.log_request(now, &ended);
     }
 
-    fn tell_attempt(&self, way: &Way, number: u32, response: &Response<Body>, next: Next) {
-        let (Some(node), Origin::Imported) = (way.tried.last(), self.0.origin) else {
+    fn log_attempt(&self, trace: &Trace, number: u32, response: &Response<Body>, next: Next) {
+        let (Some(node), Origin::Imported) = (trace.tried.last(), self.0.origin) else {
             return;
         };
         let now = self.now();
-        let attempted = Attempted {
-            id: way.id.as_ref(),
+        let failed = FailedAttempt {
+            id: trace.id.as_ref(),
             number,
             node: *node,
             next,
-            took: now.since(way.started),
+            took: now.since(trace.started),
             headers: response.headers(),
         };
-        self.0.reports.attempted(now, &attempted);
+        self.0.request_log.log_attempt(now, &failed);
     }
 
-    async fn carry(
+    async fn forward_until_stop(
         &self,
         plan: Plan,
         incoming: Incoming,
-        way: &mut Way,
+        trace: &mut Trace,
     ) -> Result<Response<Body>, Denial> {
-        let mut past = Past::NotRun;
-        let mut closing = self.0.closing.subscribe();
+        let mut prior = PriorOutcome::NotRun;
+        let mut stopping = self.0.stopping.subscribe();
         let result = tokio::select! {
             biased;
-            it = self.serve_caller(&plan, incoming, &mut past, way) => it,
-            // The last moment at which an answer still reaches the caller; without one it would see its
-            // connection cut, and could not tell whether a request that was never handed on was run.
-            _ = closing.wait_for(|it| *it) => Err(stopping(&past)),
+            it = self.forward(&plan, incoming, &mut prior, trace) => it,
+            // Shortly before the node exits an answer can still reach the caller. A cut connection would leave
+            // the caller unsure whether the request ran.
+            _ = stopping.wait_for(|it| *it) => Err(shutdown_denial(&prior)),
         };
-        match (past, result) {
-            (Past::NotRun, result) => result,
-            (Past::Unknown, Err(denial)) => Err(denial.doubted()),
-            (Past::Unknown, Ok(response)) if response.headers().get(OUTCOME) == Some(&NOT_RUN) => {
-                Err(Denial::Refused(Refusal::new(Reason::Expired)).doubted())
+        match (prior, result) {
+            (PriorOutcome::NotRun, result) => result,
+            (PriorOutcome::Unknown, Err(denial)) => Err(denial.after_unknown_attempt()),
+            (PriorOutcome::Unknown, Ok(response))
+                if response.headers().get(OUTCOME) == Some(&NOT_RUN) =>
+            {
+                Err(Denial::Refused(Refusal::new(Reason::Expired)).after_unknown_attempt())
             }
-            (Past::Unknown, Ok(response)) => Ok(response),
+            (PriorOutcome::Unknown, Ok(response)) => Ok(response),
         }
     }
 
-    async fn serve_caller(
+    async fn forward(
         &self,
         plan: &Plan,
         incoming: Incoming,
-        past: &mut Past,
-        way: &mut Way,
+        prior: &mut PriorOutcome,
+        trace: &mut Trace,
     ) -> Result<Response<Body>, Denial> {
-        let payload = self.payload(plan, incoming).await?;
-        self.attempts(plan, payload, past, way).await
+        let payload = self.read_payload(plan, incoming).await?;
+        self.try_endpoints(plan, payload, prior, trace).await
     }
 
-    /// Tries one endpoint after another, and notes in `past` whether one of them may have run the request.
-    async fn attempts(
+    /// Sends the request to one endpoint after another and records in `prior` whether one of them may have run
+    /// it.
+    async fn try_endpoints(
         &self,
         plan: &Plan,
         mut payload: Payload,
-        past: &mut Past,
-        way: &mut Way,
+        prior: &mut PriorOutcome,
+        trace: &mut Trace,
     ) -> Result<Response<Body>, Denial> {
         let counted = match self.0.origin {
             Origin::Submitted => Counted::All,
@@ -208,37 +217,38 @@
                 Choice::Refuse(refusal) => return Err(Denial::Refused(refusal)),
             };
             tried.push(endpoint.node);
-            way.tried.push(endpoint.node);
+            trace.tried.push(endpoint.node);
             let tree = retry.attempt();
-            let mut request = self.request(plan, &payload, tree, number);
+            let mut request = self.build_request(plan, &payload, tree, number);
             if queue == Queue::Short {
                 request.headers_mut().insert(QUEUE, SHORT);
             }
-            let before = std::mem::replace(past, Past::Unknown);
-            let attempt = self.attempt(plan, &endpoint, request).await;
+            let before = std::mem::replace(prior, PriorOutcome::Unknown);
+            let attempt = self.send_attempt(plan, &endpoint, request).await;
             let fault = payload.fault();
             let unknown = matches!(attempt, Attempt::Failed(Failure::Unknown, _));
-            // A body that broke says itself whether an upstream may have run what it began with.
+            // A broken body determines the outcome itself: it says whether an upstream may have run the part it
+            // got.
             if !unknown || fault.is_some() {
-                *past = before;
+                *prior = before;
             }
             if let (true, Some(fault)) = (unknown, fault) {
-                return Err(broken(plan.repeat, fault));
+                return Err(broken_body(plan.repeat, fault));
             }
             let (failure, response) = match attempt {
                 Attempt::Answered(response) | Attempt::Final(response) => return Ok(response),
                 Attempt::Failed(failure, response) => (failure, response),
             };
-            let next = self.next(plan, &mut retry, &mut tried, failure);
-            self.tell_attempt(way, number, &response, next);
+            let next = self.decide_retry(plan, &mut retry, &mut tried, failure);
+            self.log_attempt(trace, number, &response, next);
             let Next::Retry { after } = next else {
                 return Ok(response);
             };
-            let Some(again) = payload.again() else {
+            let Some(retried) = payload.into_retry() else {
                 return Ok(response);
             };
-            payload = again;
-            self.0.counts.retried();
+            payload = retried;
+            self.0.counts.count_retry();
             if after > 0 {
                 sleep(Duration::from_millis(after)).await;
             }
@@ -246,34 +256,37 @@
         Err(Denial::Refused(Refusal::new(Reason::Expired)))
     }
 
-    async fn payload(&self, plan: &Plan, incoming: Incoming) -> Result<Payload, Denial> {
+    async fn read_payload(&self, plan: &Plan, incoming: Incoming) -> Result<Payload, Denial> {
         let limit = plan.document.limits.body;
         let hint = incoming.size_hint();
         if hint.lower() > limit {
-            return Err(Denial::of_body(BodyFault::TooLong));
+            return Err(Denial::from_body_fault(BodyFault::TooLong));
         }
         let deadline = self.instant(plan.deadline);
-        let short = hint.exact().filter(|it| *it <= HELD_MAX);
-        // Beyond the budget a body passes through unheld: a retry is worth less than the node's memory.
-        if let Some(share) = short.and_then(|it| self.0.held.take(it)) {
+        let short = hint.exact().filter(|it| *it <= BUFFERED_MAX);
+        // Without budget left, the body is streamed and the request cannot be retried once it is read.
+        if let Some(share) = short.and_then(|it| self.0.buffered.take(it)) {
             let bytes = body::collect(incoming, limit, deadline).await;
-            return Ok(Payload::Held {
-                bytes: bytes.map_err(Denial::of_body)?,
+            return Ok(Payload::Buffered {
+                bytes: bytes.map_err(Denial::from_body_fault)?,
                 _share: share,
             });
         }
         let fault = Arc::new(OnceLock::new());
-        let noted = fault.clone();
+        let recorded = fault.clone();
         let bounded = Bounded::new(incoming, limit, deadline, move |end| {
             if let End::Failed(fault) = end {
-                // Only the first fault can be noted, and there is only one.
-                let _ = noted.set(fault);
+                // `ended` is called once, so the cell is empty.
+                let _ = recorded.set(fault);
             }
         });
-        Ok(Payload::Streamed(Intact::new(Body::new(bounded)), fault))
+        Ok(Payload::Streamed(
+            ReclaimableBody::new(Body::new(bounded)),
+            fault,
+        ))
     }
 
-    fn next(
+    fn decide_retry(
         &self,
         plan: &Plan,
         retry: &mut Retry,
@@ -292,7 +305,13 @@
         retry.next(now, &mut rand::rng(), &mut state.budget, failure, untried)
     }
 
-    fn request(&self, plan: &Plan, payload: &Payload, tree: Tree, number: u32) -> Request<Body> {
+    fn build_request(
+        &self,
+        plan: &Plan,
+        payload: &Payload,
+        tree: Tree,
+        number: u32,
+    ) -> Request<Body> {
         let mut request = Request::new(payload.body());
         *request.method_mut() = plan.method.clone();
         *request.uri_mut() = uri(&plan.authority, &plan.path);
@@ -316,7 +335,7 @@
         request
     }
 
-    async fn attempt(
+    async fn send_attempt(
         &self,
         plan: &Plan,
         endpoint: &Endpoint,
@@ -325,10 +344,10 @@
         let number = request.headers().get(REQUEST).cloned();
         let service = plan.service.clone();
         let mut flight =
-            Flight::start(&self.0.clock, service, endpoint.node, plan.class, plan.kind);
+            InFlight::start(&self.0.clock, service, endpoint.node, plan.class, plan.kind);
         let deadline = self.instant(plan.deadline);
         let response = match endpoint.node == self.0.node {
-            true => self.own(request).await,
+            true => self.handle_forwarded(request).await,
             false => {
                 self.0.proofs.prove(&mut request, endpoint.traffic);
                 match self.0.peers.send(endpoint.traffic, request, deadline).await {
@@ -341,43 +360,42 @@
                     }
                     peers::Sent::Lost => {
                         flight.ended(Outcome::Failed);
-                        return lost(self.lost_denial(plan));
+                        return lost_attempt(self.no_answer_denial(plan));
                     }
                 }
             }
         };
         if response.headers().get(REQUEST) != number.as_ref() {
-            // An answer to another request would show one family's draft to another.
+            // Forwarding it would disclose another caller's data.
             self.0
                 .faults
                 .count("crossed-answer", Some(endpoint.traffic));
             flight.ended(Outcome::Failed);
-            let why =
-                "the answer belonged to another request and was dropped; ask again if you may";
-            return lost(Denial::unknown("crossed", why));
+            let why = "the owner's answer carries the number of another request and was dropped; the request may have been run: retry it if that is safe";
+            return lost_attempt(Denial::unknown("crossed", why));
         }
-        flight.told(headers::told(response.headers()));
-        self.judge(plan, flight, response)
+        flight.set_feedback(headers::owner_feedback(response.headers()));
+        self.classify_answer(plan, flight, response)
     }
 
-    fn judge(&self, plan: &Plan, flight: Flight, response: Response<Body>) -> Attempt {
+    fn classify_answer(&self, plan: &Plan, flight: InFlight, response: Response<Body>) -> Attempt {
         let outcome = response.headers().get(OUTCOME).cloned();
         let refusal = headers::refusal(response.headers());
         if outcome == Some(RAN) {
-            return Attempt::Answered(self.hand_on(plan, flight, response));
+            return Attempt::Answered(self.stream_answer(plan, flight, response));
         }
         if outcome == Some(UNKNOWN) {
             flight.ended(Outcome::Failed);
-            return Attempt::Failed(Failure::Unknown, headers::clean(response));
+            return Attempt::Failed(Failure::Unknown, headers::strip_node_fields(response));
         }
         if outcome != Some(NOT_RUN) {
             flight.ended(Outcome::Failed);
-            let why = "the other node does not say whether it was run: update both to one version";
-            return lost(Denial::unknown("no-outcome", why));
+            let why = "the owner's answer does not say whether the request was run: update both nodes to the same version";
+            return lost_attempt(Denial::unknown("no-outcome", why));
         }
         if response.headers().get(headers::REASON) == Some(&UNPROVEN_VALUE) {
-            // Two nodes differ in their keys or clocks, which is no fault of the caller's: it may be served
-            // elsewhere, and a 401 would send it looking for a password.
+            // The nodes' keys or clocks differ, which the caller cannot fix: another node may serve the
+            // request, and a 401 would make the caller look for credentials.
             self.0.faults.count("node-refused-proof", None);
             let refusal = Refusal::new(Reason::NotReady);
             flight.ended(Outcome::Failed);
@@ -387,20 +405,28 @@
         match refusal {
             Some(refusal) => {
                 flight.ended(Outcome::Refused(refusal));
-                Attempt::Failed(Failure::NotRun(refusal), headers::clean(response))
+                Attempt::Failed(
+                    Failure::NotRun(refusal),
+                    headers::strip_node_fields(response),
+                )
             }
             None => {
                 flight.answered();
-                Attempt::Final(headers::clean(response))
+                Attempt::Final(headers::strip_node_fields(response))
             }
         }
     }
 
-    /// Streams an answer to the caller and notes how it ended.
-    fn hand_on(&self, plan: &Plan, flight: Flight, response: Response<Body>) -> Response<Body> {
+    /// Streams an answer to the caller and reports to the endpoint statistics how it ended.
+    fn stream_answer(
+        &self,
+        plan: &Plan,
+        flight: InFlight,
+        response: Response<Body>,
+    ) -> Response<Body> {
         let limit = plan.document.limits.body;
         let deadline = self.instant(plan.deadline);
-        let (parts, body) = headers::clean(response).into_parts();
+        let (parts, body) = headers::strip_node_fields(response).into_parts();
         if body.is_end_stream() {
             flight.answered();
             return Response::from_parts(parts, body);
@@ -413,15 +439,15 @@
         Response::from_parts(parts, Body::new(body))
     }
 
-    fn lost_denial(&self, plan: &Plan) -> Denial {
+    fn no_answer_denial(&self, plan: &Plan) -> Denial {
         match plan.deadline.left(self.now()) {
             0 => Denial::unknown(
                 super::denial::DEADLINE,
-                "no answer by the deadline: the request may have been run",
+                "no answer from the owner by the deadline; the request may have been run",
             ),
             _ => Denial::unknown(
                 "node-lost",
-                "the connection broke: the request may have been run",
+                "the connection to the owner broke; the request may have been run",
             ),
         }
     }
@@ -430,54 +456,54 @@
 impl Payload {
     fn body(&self) -> Body {
         match self {
-            Payload::Held { bytes, .. } => Body::from(bytes.clone()),
-            Payload::Streamed(intact, _) => Body::new(intact.clone()),
+            Payload::Buffered { bytes, .. } => Body::from(bytes.clone()),
+            Payload::Streamed(body, _) => Body::new(body.clone()),
         }
     }
 
-    /// The payload for another attempt, if it is still whole.
-    fn again(self) -> Option<Payload> {
+    /// Returns the payload for another attempt, unless part of it was already read.
+    fn into_retry(self) -> Option<Payload> {
         match self {
-            Payload::Held { .. } => Some(self),
-            Payload::Streamed(intact, fault) => {
-                let body = intact.reclaim()?;
-                Some(Payload::Streamed(Intact::new(body), fault))
+            Payload::Buffered { .. } => Some(self),
+            Payload::Streamed(body, fault) => {
+                let body = body.reclaim()?;
+                Some(Payload::Streamed(ReclaimableBody::new(body), fault))
             }
         }
     }
 
-    /// What broke the body on its way, if anything.
+    /// Returns the fault that broke the body, if any.
     fn fault(&self) -> Option<BodyFault> {
         match self {
-            Payload::Held { .. } => None,
+            Payload::Buffered { .. } => None,
             Payload::Streamed(_, fault) => fault.get().copied(),
         }
     }
 }
 
-/// The caller's own body broke while it was passed on.
+/// Returns the denial for a request whose body broke while it was forwarded.
 ///
-/// An owner runs nothing of a request that runs at most once before its body is whole. Of others the upstream
-/// may have seen the beginning.
-fn broken(repeat: Repeat, fault: BodyFault) -> Denial {
-    match (repeat, Denial::of_body(fault)) {
+/// An owner runs a request that runs at most once only when it has the whole body. For other requests the
+/// upstream may have processed the beginning.
+fn broken_body(repeat: Repeat, fault: BodyFault) -> Denial {
+    match (repeat, Denial::from_body_fault(fault)) {
         (Repeat::Idempotent, Denial::Bad { reason, why, .. }) => Denial::Unknown { reason, why },
         (_, denial) => denial,
     }
 }
 
-/// What a request is told whose answer did not come while this node could wait.
-fn stopping(past: &Past) -> Denial {
-    match past {
-        Past::NotRun => Denial::Refused(Refusal::new(Reason::Draining)),
-        Past::Unknown => Denial::unknown(
+/// Returns the denial for a request that is pending when the node stops.
+fn shutdown_denial(prior: &PriorOutcome) -> Denial {
+    match prior {
+        PriorOutcome::NotRun => Denial::Refused(Refusal::new(Reason::Draining)),
+        PriorOutcome::Unknown => Denial::unknown(
             "stopping",
-            "this node stopped before the answer came: the request may have been run; ask again if you may",
+            "this node stopped before the answer arrived; the request may have been run: retry it if that is safe",
         ),
     }
 }
 
-fn lost(denial: Denial) -> Attempt {
+fn lost_attempt(denial: Denial) -> Attempt {
     Attempt::Failed(Failure::Unknown, denial.response())
 }
 
@@ -487,6 +513,6 @@
         .authority(authority)
         .path_and_query(path.clone())
         .build();
-    // A service's name is always a valid authority; a caller's own host and the path were parsed before.
+    // Cannot fail: a service's name is a valid authority, and the caller's host and path are already parsed.
     uri.unwrap_or_default()
 }
--- a/crates/node/src/traffic/faults.rs
+++ b/crates/node/src/traffic/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of callers, logged once per kind and interval.
+//! Counters of invalid input, with rate-limited logging.
 
 use std::{
     collections::HashMap,
@@ -11,10 +11,8 @@
 
 use crate::logs;
 
-/// Counts faults and logs each kind at most once an interval.
-///
-/// A caller that sends nothing but bad requests would otherwise fill the log, and hide in it what others
-/// need to see there.
+/// Counts faults by kind and logs each kind at most once per interval, so that a faulty caller cannot flood the
+/// log.
 #[derive(Debug)]
 pub struct Faults {
     clock: Clock,
@@ -23,34 +21,37 @@
 
 #[derive(Debug, Default)]
 struct Kind {
-    lines: Sparse,
+    throttle: LogThrottle,
     total: u64,
 }
 
-/// Bounds the log lines of something that may happen often.
+/// Limits the rate of a log line.
 #[derive(Debug, Default)]
-pub struct Sparse {
-    logged: Option<Ms>,
-    unlogged: u64,
+pub struct LogThrottle {
+    last_logged: Option<Ms>,
+    unreported: u64,
 }
 
-/// Shortest time between two such lines, in ms.
+/// Minimum time between two such lines, in ms.
 const LOG_INTERVAL: u64 = 10_000;
 
-impl Sparse {
-    /// Counts that it happened; tells how often since the last line if one is due.
+impl LogThrottle {
+    /// Counts an occurrence; returns the number since the last line if a new line is due.
     pub fn count(&mut self, now: Ms) -> Option<u64> {
-        self.unlogged += 1;
-        if self.logged.is_some_and(|it| now.since(it) < LOG_INTERVAL) {
+        self.unreported += 1;
+        if self
+            .last_logged
+            .is_some_and(|it| now.since(it) < LOG_INTERVAL)
+        {
             return None;
         }
-        self.logged = Some(now);
-        Some(std::mem::take(&mut self.unlogged))
+        self.last_logged = Some(now);
+        Some(std::mem::take(&mut self.unreported))
     }
 }
 
 impl Faults {
-    /// Counts by `clock`.
+    /// Creates zero counters.
     pub fn new(clock: Clock) -> Faults {
         Faults {
             clock,
@@ -58,13 +59,13 @@
         }
     }
 
-    /// Counts one fault of `kind`, and logs it with the count since the last line if one is due.
+    /// Counts one fault of `kind` and, if a line is due, logs it with the count since the last line.
     pub fn count(&self, kind: &'static str, peer: Option<SocketAddr>) {
         let now = self.clock.now();
         let mut kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = kinds.entry(kind).or_default();
         entry.total += 1;
-        let Some(count) = entry.lines.count(now) else {
+        let Some(count) = entry.throttle.count(now) else {
             return;
         };
         drop(kinds);
@@ -77,13 +78,13 @@
         logs::event("traffic-fault", &pairs);
     }
 
-    /// Faults of every kind since the start.
+    /// Returns the number of faults of each kind since the start.
     pub fn totals(&self) -> Vec<(&'static str, u64)> {
         let kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
         kinds.iter().map(|(kind, it)| (*kind, it.total)).collect()
     }
 
-    /// Faults of `kind` since the start.
+    /// Returns the number of faults of `kind` since the start.
     pub fn total(&self, kind: &str) -> u64 {
         let kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
         kinds.get(kind).map_or(0, |it| it.total)
--- a/crates/node/src/traffic/gate.rs
+++ b/crates/node/src/traffic/gate.rs
@@ -1,4 +1,4 @@
-//! The door to the upstream: admission shared by the traffic threads.
+//! Admission to the upstream, shared by the traffic threads.
 
 use std::{
     collections::HashMap,
@@ -19,7 +19,7 @@
 };
 use tokio::sync::oneshot;
 
-use super::services::Told;
+use super::services::Feedback;
 
 /// Admits requests to the upstream beside this node; cheap to clone.
 #[derive(Clone, Debug)]
@@ -32,52 +32,53 @@
 struct State {
     policy: Policy,
     waiting: HashMap<Ticket, oneshot::Sender<Verdict>>,
-    standing: Standing,
+    upstream: UpstreamState,
 }
 
 type Verdict = Result<Permit, Refusal>;
 
-/// Who runs, waits and is refused.
+/// Decides which requests run, wait or are rejected.
 #[derive(Debug)]
 enum Policy {
-    /// Classes share the upstream by weight.
+    /// Classes share the upstream by weight; used with submitted documents.
     Shares(Box<Admission>),
-    /// Priorities and goals decide.
+    /// Orders requests by priority and latency goal; used with an imported configuration.
     Ranks(Ranks),
 }
 
-/// A request that asks for a slot: shares go by its class and deadline, ranks by its order.
+/// Request for a slot. [`Policy::Shares`] uses the class and the deadline, [`Policy::Ranks`] the order.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
-    /// Its class.
+pub struct SlotRequest {
+    /// Traffic class.
     pub class: Class,
-    /// Its priority, goal and deadline.
+    /// Priority, latency goal and deadline.
     pub order: Order,
 }
 
-/// What the gate follows.
+/// State of the upstream that admission depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct UpstreamState {
     /// Phase of the upstream.
     pub phase: Phase,
-    /// Requests that it handles at once.
+    /// Number of requests that it handles at once.
     pub slots: u16,
-    /// Most requests of one class that wait.
+    /// Maximum number of waiting requests per class.
     pub queue: usize,
 }
 
-/// The gate at one moment, in requests.
+/// Admission counters at one moment, in requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gauges {
-    /// At the upstream.
+    /// Requests running at the upstream.
     pub running: usize,
-    /// Waiting, of every class.
+    /// Requests waiting, over all classes.
     pub waiting: usize,
-    /// Most that may run.
+    /// Maximum number of running requests.
     pub limit: usize,
 }
 
-/// A slot of the upstream. Dropping it frees the slot as cancelled; [`Slot::finish`] says otherwise.
+/// A slot of the upstream. Dropping it frees the slot as cancelled; use [`Slot::finish`] to report another
+/// result.
 #[derive(Debug)]
 pub struct Slot {
     gate: Gate,
@@ -85,20 +86,20 @@
 }
 
 impl Gate {
-    /// A gate that is closed until [`Gate::follow`] opens it.
+    /// Creates a gate that admits nothing until [`Gate::update`] is called.
     pub fn new(clock: Clock, origin: Origin) -> Gate {
-        let standing = Standing {
+        let upstream = UpstreamState {
             phase: Phase::Warming,
             slots: 1,
             queue: AdmissionSettings::default().queue,
         };
         let state = State {
             policy: match origin {
-                Origin::Submitted => Policy::Shares(Box::new(admission(standing))),
-                Origin::Imported => Policy::Ranks(Ranks::new(standing.slots)),
+                Origin::Submitted => Policy::Shares(Box::new(admission(upstream))),
+                Origin::Imported => Policy::Ranks(Ranks::new(upstream.slots)),
             },
             waiting: HashMap::new(),
-            standing,
+            upstream,
         };
         Gate {
             clock,
@@ -106,31 +107,31 @@
         }
     }
 
-    /// Follows the upstream's phase and slots and the document's queue.
-    pub fn follow(&self, standing: Standing) {
+    /// Applies the upstream's phase and slots and the document's queue length.
+    pub fn update(&self, upstream: UpstreamState) {
         let mut state = self.lock();
-        if state.standing == standing {
+        if state.upstream == upstream {
             return;
         }
         let now = self.clock.now();
         let mut wakes = Vec::new();
-        let before = state.standing;
-        let followed = state.policy.follow(now, before, standing, &mut wakes);
-        state.standing = followed;
+        let before = state.upstream;
+        let applied = state.policy.update(now, before, upstream, &mut wakes);
+        state.upstream = applied;
         state.deliver(now, wakes);
     }
 
-    /// Waits until `request` may run or is refused. Dropping the future cancels the wait.
-    pub async fn enter(&self, ask: Ask) -> Result<Slot, Refusal> {
+    /// Waits until `request` is admitted or rejected. Dropping the future cancels the wait.
+    pub async fn acquire(&self, request: SlotRequest) -> Result<Slot, Refusal> {
         let mut wait = {
             let mut state = self.lock();
-            match state.policy.offer(self.clock.now(), ask) {
+            match state.policy.offer(self.clock.now(), request) {
                 Offer::Run(permit) => return Ok(self.slot(permit)),
                 Offer::Refuse(refusal) => return Err(refusal),
                 Offer::Wait(ticket) => {
                     let (sender, verdict) = oneshot::channel();
                     state.waiting.insert(ticket, sender);
-                    Wait {
+                    PendingWait {
                         gate: self,
                         ticket,
                         verdict,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Whether a request with `order` would be let in now, where ranks decide.
+    /// Checks whether a request with `order` would be admitted now; always `Ok` under [`Policy::Shares`].
     pub fn check(&self, order: Order) -> Result<(), Refusal> {
         match &mut self.lock().policy {
             Policy::Shares(_) => Ok(()),
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Refuses and starts what is due.
+    /// Rejects expired requests and starts those that are due.
     pub fn tick(&self) {
         let mut state = self.lock();
         let now = self.clock.now();
@@ -165,15 +166,15 @@
         state.deliver(now, wakes);
     }
 
-    /// What to tell with an answer.
-    pub fn told(&self) -> Told {
+    /// Returns the load information that is sent along with answers.
+    pub fn feedback(&self) -> Feedback {
         match &self.lock().policy {
-            Policy::Shares(it) => Told::Load(it.load()),
-            Policy::Ranks(it) => Told::Outlook(it.outlook()),
+            Policy::Shares(it) => Feedback::Load(it.load()),
+            Policy::Ranks(it) => Feedback::Outlook(it.outlook()),
         }
     }
 
-    /// What runs, what waits in every class, and the most that may run.
+    /// Returns the numbers of running and waiting requests and the limit.
     pub fn gauges(&self) -> Gauges {
         match &self.lock().policy {
             Policy::Shares(it) => Gauges {
@@ -196,11 +197,11 @@
         }
     }
 
-    fn done(&self, permit: Permit, finish: Finish) {
+    fn release(&self, permit: Permit, finish: Finish) {
         let mut state = self.lock();
         let now = self.clock.now();
         let mut wakes = Vec::new();
-        state.policy.done(now, permit, finish, &mut wakes);
+        state.policy.release(now, permit, finish, &mut wakes);
         state.deliver(now, wakes);
     }
 
@@ -210,21 +211,28 @@
 }
 
 impl Policy {
-    /// Follows `to`; returns what holds from now on.
-    fn follow(&mut self, now: Ms, from: Standing, to: Standing, out: &mut Vec<Wake>) -> Standing {
+    /// Applies `to`; returns the state that is in force from now on.
+    fn update(
+        &mut self,
+        now: Ms,
+        from: UpstreamState,
+        to: UpstreamState,
+        out: &mut Vec<Wake>,
+    ) -> UpstreamState {
         match self {
             Policy::Shares(it) => {
                 let idle = it.running() == 0 && it.waiting() == 0;
-                let mut followed = to;
+                let mut applied = to;
                 match (to.queue == from.queue, idle) {
                     (true, _) => {}
                     (false, true) => **it = admission(to),
-                    // A new length waits for a quiet moment: permits belong to the admission that gave them.
-                    (false, false) => followed.queue = from.queue,
+                    // The queue length only changes while idle: permits belong to the admission that issued
+                    // them.
+                    (false, false) => applied.queue = from.queue,
                 }
                 it.set_slots(now, to.slots, out);
                 it.set_phase(now, to.phase, out);
-                followed
+                applied
             }
             Policy::Ranks(it) => {
                 it.set_slots(now, to.slots, out);
@@ -234,20 +242,20 @@
         }
     }
 
-    fn offer(&mut self, now: Ms, ask: Ask) -> Offer {
+    fn offer(&mut self, now: Ms, request: SlotRequest) -> Offer {
         match self {
             Policy::Shares(it) => {
                 let request = Request {
-                    class: ask.class,
-                    deadline: ask.order.deadline,
+                    class: request.class,
+                    deadline: request.order.deadline,
                 };
                 it.offer(now, request)
             }
-            Policy::Ranks(it) => it.offer(now, ask.order),
+            Policy::Ranks(it) => it.offer(now, request.order),
         }
     }
 
-    fn done(&mut self, now: Ms, permit: Permit, finish: Finish, out: &mut Vec<Wake>) {
+    fn release(&mut self, now: Ms, permit: Permit, finish: Finish, out: &mut Vec<Wake>) {
         match self {
             Policy::Shares(it) => it.done(now, permit, finish, out),
             Policy::Ranks(it) => it.done(now, permit, finish, out),
@@ -256,7 +264,7 @@
 
     fn cancel(&mut self, ticket: Ticket) {
         match self {
-            // Whether it still waited makes no difference here: a permit on its way is given back by the caller.
+            // The result does not matter: `PendingWait::drop` returns a permit that was already sent.
             Policy::Shares(it) => drop(it.cancel(ticket)),
             Policy::Ranks(it) => drop(it.cancel(ticket)),
         }
@@ -284,23 +292,24 @@
                 Wake::Run(ticket, permit) => (ticket, Ok(permit)),
                 Wake::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
-            let unheard = match self.waiting.remove(&ticket) {
+            let undelivered = match self.waiting.remove(&ticket) {
                 Some(sender) => sender.send(verdict).err(),
                 None => Some(verdict),
             };
-            // A permit that nobody takes would hold its slot for good.
-            if let Some(Ok(permit)) = unheard {
-                self.policy.done(now, permit, Finish::Cancelled, &mut wakes);
+            // A permit that cannot be delivered would occupy its slot forever.
+            if let Some(Ok(permit)) = undelivered {
+                self.policy
+                    .release(now, permit, Finish::Cancelled, &mut wakes);
             }
         }
     }
 }
 
 impl Slot {
-    /// Frees the slot and says how the run ended.
+    /// Frees the slot and reports how the request ended.
     pub fn finish(mut self, finish: Finish) {
         if let Some(permit) = self.permit.take() {
-            self.gate.done(permit, finish);
+            self.gate.release(permit, finish);
         }
     }
 }
@@ -308,38 +317,38 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if let Some(permit) = self.permit.take() {
-            self.gate.done(permit, Finish::Cancelled);
+            self.gate.release(permit, Finish::Cancelled);
         }
     }
 }
 
-struct Wait<'a> {
+struct PendingWait<'a> {
     gate: &'a Gate,
     ticket: Ticket,
     verdict: oneshot::Receiver<Verdict>,
 }
 
-impl Drop for Wait<'_> {
+impl Drop for PendingWait<'_> {
     fn drop(&mut self) {
         let mut state = self.gate.lock();
         state.waiting.remove(&self.ticket);
         state.policy.cancel(self.ticket);
-        // Verdicts are sent under the lock, so one that crossed with the cancellation is here by now.
+        // Verdicts are sent under the lock, so a permit sent before the cancellation is already in the channel.
         if let Ok(Ok(permit)) = self.verdict.try_recv() {
             let now = self.gate.clock.now();
             let mut wakes = Vec::new();
             state
                 .policy
-                .done(now, permit, Finish::Cancelled, &mut wakes);
+                .release(now, permit, Finish::Cancelled, &mut wakes);
             state.deliver(now, wakes);
         }
     }
 }
 
-fn admission(standing: Standing) -> Admission {
+fn admission(upstream: UpstreamState) -> Admission {
     let settings = AdmissionSettings {
-        queue: standing.queue,
+        queue: upstream.queue,
         ..AdmissionSettings::default()
     };
-    Admission::new(settings, standing.slots)
+    Admission::new(settings, upstream.slots)
 }
--- a/crates/node/src/traffic/headers.rs
+++ b/crates/node/src/traffic/headers.rs
@@ -1,50 +1,51 @@
-//! Header fields of the request path, and what is kept from whom.
+//! Header fields of the request path, and functions that read, set and strip them.
 
 use http::{HeaderMap, HeaderName, HeaderValue, Response, header};
 use laburnum_kernel::{admission::Load, refusal::Refusal};
 
-use super::services::Told;
+use super::services::Feedback;
 
-/// Every field of the system's own starts so; such fields of callers and upstreams are never passed on.
+/// Prefix of the system's own fields, which are not forwarded from callers or upstreams.
 pub const PREFIX: &str = "laburnum-";
-/// Whether the request was run: [`RAN`], [`NOT_RUN`] or [`UNKNOWN`].
+/// Outcome of the request: [`RAN`], [`NOT_RUN`] or [`UNKNOWN`].
 pub const OUTCOME: HeaderName = HeaderName::from_static("laburnum-outcome");
-/// Why a request was refused or failed.
+/// Reason why a request was refused or failed.
 pub const REASON: HeaderName = HeaderName::from_static("laburnum-reason");
-/// Milliseconds after which a refused request may be sent again.
+/// Time in ms after which a refused request may be sent again.
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("laburnum-retry-after-ms");
-/// Milliseconds that are left for the request. It only shrinks on the way.
+/// Time left for the request, in ms. Each hop can only reduce it.
 pub const DEADLINE: HeaderName = HeaderName::from_static("laburnum-deadline");
-/// Retries that are left to the whole tree of calls. It only shrinks on the way.
+/// Retries left to the whole tree of calls. Each hop can only reduce them.
 pub const BUDGET: HeaderName = HeaderName::from_static("laburnum-budget");
-/// Between nodes: the service that the request is for.
+/// Between nodes: service that the request is for.
 pub const SERVICE: HeaderName = HeaderName::from_static("laburnum-service");
-/// Between nodes: which attempt at the request this is, from 1.
+/// Between nodes: number of the attempt, from 1.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("laburnum-attempt");
 /// Between nodes: `never` if the entry's document says that the request runs at most once.
 pub const REPEAT: HeaderName = HeaderName::from_static("laburnum-repeat");
-/// Between nodes: number of the exchange; the answer must carry the same one.
+/// Between nodes: number of the exchange; the answer must echo it.
 pub const REQUEST: HeaderName = HeaderName::from_static("laburnum-request");
-/// Between nodes: rank of the request under load, zero first, if its route gives one.
+/// Between nodes: priority of the request, highest first from 0, if its route sets one.
 pub const PRIORITY: HeaderName = HeaderName::from_static("laburnum-priority");
-/// Between nodes: milliseconds until the answer is late, if the route gives a goal.
+/// Between nodes: time in ms until the latency goal, if the route sets one.
 pub const GOAL: HeaderName = HeaderName::from_static("laburnum-goal");
-/// Between nodes: number of the request's kind, the same for all requests of its route.
+/// Between nodes: hash of the request's kind, the same for all requests of its route.
 pub const KIND: HeaderName = HeaderName::from_static("laburnum-kind");
-/// Between nodes: how long the request may wait for a slot; without it, as long as it is of use.
+/// Between nodes: [`SHORT`] if the request may only wait briefly for a slot; absent if it may wait as long as
+/// its answer is useful.
 pub const QUEUE: HeaderName = HeaderName::from_static("laburnum-queue");
-/// Between nodes: what a further request could expect, by rank.
+/// Between nodes: expected waiting times of further requests, by priority.
 pub const OUTLOOK: HeaderName = HeaderName::from_static("laburnum-outlook");
 /// Between nodes: load of the upstream as `running/waiting/limit`.
 pub const LOAD: HeaderName = HeaderName::from_static("laburnum-load");
 /// Between nodes: proof that the sender holds the link key; see [`super::proof`].
 pub const PROOF: HeaderName = HeaderName::from_static("laburnum-proof");
-/// Says that the answer is the kept one of an earlier run.
+/// Marks an answer as the stored one of an earlier run.
 pub const REPLAYED: HeaderName = HeaderName::from_static("laburnum-replayed");
-/// Chosen by the caller; requests with the same one run at most once.
+/// Idempotency key chosen by the caller; requests with the same key run at most once.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The upstream ran the request and this is its whole answer.
+/// The upstream ran the request, and this is its answer.
 pub const RAN: HeaderValue = HeaderValue::from_static("ran");
 /// No byte of the request reached an upstream, or the upstream itself said that it was not run.
 pub const NOT_RUN: HeaderValue = HeaderValue::from_static("not-run");
@@ -56,7 +57,7 @@
 /// Value of [`QUEUE`] for requests that have other endpoints to ask.
 pub const SHORT: HeaderValue = HeaderValue::from_static("short");
 
-/// Fields that concern one connection only.
+/// Hop-by-hop fields.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -68,7 +69,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Removes the fields that concern one connection only, with those that `connection` names.
+/// Removes hop-by-hop fields, including those that `connection` names.
 pub fn strip_hop(headers: &mut HeaderMap) {
     if headers.contains_key(header::CONNECTION) {
         let named: Vec<HeaderName> = headers
@@ -77,7 +78,7 @@
             .filter_map(|it| it.to_str().ok())
             .flat_map(|it| it.split(','))
             .filter_map(|it| it.trim().parse().ok())
-            // Framing belongs to the HTTP library; a caller cannot have it dropped.
+            // The HTTP library needs these for framing and routing; a caller must not be able to remove them.
             .filter(|it| it != header::CONTENT_LENGTH && it != header::HOST)
             .collect();
         named.iter().for_each(|it| {
@@ -89,9 +90,9 @@
     });
 }
 
-/// Removes every field of the system's own.
+/// Removes all of the system's own fields.
 ///
-/// A caller that could set them would choose its own class, claim another's answer or pass as a node.
+/// With them a caller could choose its class, claim another caller's answer or pose as a node.
 pub fn strip_internal(headers: &mut HeaderMap) {
     if !headers.keys().any(|it| it.as_str().starts_with(PREFIX)) {
         return;
@@ -106,12 +107,12 @@
     });
 }
 
-/// The field is there but is no whole number, or is there twice.
+/// A field that is not a whole number or is present more than once.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("header {0} is not valid: send it once, as a whole number, or leave it out")]
+#[error("header {0} is not valid; send it once, as a whole number, or leave it out")]
 pub struct BadNumber(pub HeaderName);
 
-/// Reads a whole number.
+/// Reads a field as a whole number.
 pub fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, BadNumber> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
@@ -124,25 +125,25 @@
     }
 }
 
-/// The length that the message declares.
+/// Returns the declared length of the message.
 pub fn content_length(headers: &HeaderMap) -> Option<u64> {
     number(headers, &header::CONTENT_LENGTH).ok().flatten()
 }
 
-/// Sets a field, unless `text` cannot be a field's value.
+/// Sets a field, unless `text` is not a valid field value.
 pub fn insert_text(headers: &mut HeaderMap, name: HeaderName, text: &str) {
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name, value);
     }
 }
 
-/// Reads what the owner told of its load.
-pub fn told(headers: &HeaderMap) -> Told {
+/// Reads the load information in an owner's answer.
+pub fn owner_feedback(headers: &HeaderMap) -> Feedback {
     let outlook = headers.get(OUTLOOK).and_then(|it| it.to_str().ok());
     if let Some(outlook) = outlook.and_then(|it| it.parse().ok()) {
-        return Told::Outlook(outlook);
+        return Feedback::Outlook(outlook);
     }
-    load(headers).map_or(Told::Nothing, Told::Load)
+    load(headers).map_or(Feedback::Nothing, Feedback::Load)
 }
 
 fn load(headers: &HeaderMap) -> Option<Load> {
@@ -155,15 +156,15 @@
     })
 }
 
-/// Reads why and until when a request was refused.
+/// Reads the reason and retry delay of a refusal.
 pub fn refusal(headers: &HeaderMap) -> Option<Refusal> {
     let reason = headers.get(REASON)?.to_str().ok()?.parse().ok()?;
     let after = number(headers, &RETRY_AFTER_MS).ok().flatten();
     Some(Refusal::after(reason, after.unwrap_or(0)))
 }
 
-/// Removes from an answer what only nodes need to know.
-pub fn clean<B>(mut response: Response<B>) -> Response<B> {
+/// Removes the fields from an answer that are only meant for nodes.
+pub fn strip_node_fields<B>(mut response: Response<B>) -> Response<B> {
     let headers = response.headers_mut();
     [
         SERVICE, REQUEST, LOAD, DEADLINE, BUDGET, ATTEMPT, REPEAT, PRIORITY, GOAL, KIND, OUTLOOK,
--- a/crates/node/src/traffic/lines.rs
+++ b/crates/node/src/traffic/lines.rs
@@ -1,4 +1,4 @@
-//! The open connections of one socket, shared by their tasks.
+//! Open connections of one listening socket, shared by the connection tasks.
 
 use std::{
     collections::HashMap,
@@ -13,12 +13,12 @@
 };
 use tokio::sync::Notify;
 
-use super::faults::Sparse;
+use super::faults::LogThrottle;
 use crate::logs;
 
-/// The open connections of one socket; cheap to clone.
+/// Open connections of one listening socket; cheap to clone.
 #[derive(Clone, Debug)]
-pub struct Lines(Arc<Shared>);
+pub struct OpenConnections(Arc<Shared>);
 
 #[derive(Debug)]
 struct Shared {
@@ -29,72 +29,73 @@
 #[derive(Debug)]
 struct State {
     connections: Connections,
-    /// Tells a connection that it is to end.
-    ends: HashMap<Key, Arc<Notify>>,
-    /// Idle connections that gave way to new ones.
+    /// Signals by which a connection is told to close.
+    close_signals: HashMap<Key, Arc<Notify>>,
+    /// Number of idle connections closed in favour of new ones.
     replaced: u64,
-    log: Sparse,
+    throttle: LogThrottle,
 }
 
 /// An open connection. Dropping it frees its place.
 #[derive(Debug)]
-pub struct Open {
-    lines: Lines,
+pub struct OpenConnection {
+    table: OpenConnections,
     key: Key,
-    end: Arc<Notify>,
+    close_signal: Arc<Notify>,
 }
 
-/// A request in progress on a connection. Dropping it says that the head of its answer is ready or that it was given up;
-/// a connection that gives way sends the rest of an answer before it ends.
+/// A request in progress on a connection. Dropped when the head of its answer is ready or the request is
+/// abandoned; a connection that is told to close still sends the rest of the answer.
 #[derive(Debug)]
-pub struct Busy {
-    lines: Lines,
+pub struct ActiveRequest {
+    table: OpenConnections,
     key: Key,
 }
 
-impl Lines {
-    /// Room for `places` connections.
-    pub fn new(clock: Clock, places: usize) -> Lines {
+impl OpenConnections {
+    /// Creates a table with places for `places` connections.
+    pub fn new(clock: Clock, places: usize) -> OpenConnections {
         let state = Mutex::new(State {
             connections: Connections::new(places),
-            ends: HashMap::new(),
+            close_signals: HashMap::new(),
             replaced: 0,
-            log: Sparse::default(),
+            throttle: LogThrottle::default(),
         });
-        Lines(Arc::new(Shared { clock, state }))
+        OpenConnections(Arc::new(Shared { clock, state }))
     }
 
-    /// A place for the connection of `peer`, if there is one.
-    pub fn enter(&self, peer: SocketAddr) -> Option<Open> {
+    /// Takes a place for the connection of `peer`, closing an idle connection if needed; `None` if all are
+    /// busy.
+    pub fn enter(&self, peer: SocketAddr) -> Option<OpenConnection> {
         let now = self.0.clock.now();
         let mut state = self.lock();
         let key = match state.connections.enter(now) {
             Entry::Open(key) => key,
             Entry::Replace { new, idle } => {
-                state.tell(now, peer);
-                state.end(idle);
+                state.log_full(now, peer);
+                state.close_idle(idle);
                 new
             }
             Entry::Full => {
-                state.tell(now, peer);
+                state.log_full(now, peer);
                 return None;
             }
         };
-        let end = Arc::new(Notify::new());
-        state.ends.insert(key, end.clone());
-        Some(Open {
-            lines: self.clone(),
+        let close_signal = Arc::new(Notify::new());
+        state.close_signals.insert(key, close_signal.clone());
+        Some(OpenConnection {
+            table: self.clone(),
             key,
-            end,
+            close_signal,
         })
     }
 
-    /// Idle connections that gave way to new ones so far.
+    /// Returns the number of idle connections closed in favour of new ones.
     pub fn replaced(&self) -> u64 {
         self.lock().replaced
     }
 
-    /// How many are open, busy and idle.
+    /// Returns the numbers of open, busy and idle connections.
     pub fn gauges(&self) -> Gauges {
         self.lock().connections.gauges(self.0.clock.now())
     }
@@ -105,16 +106,16 @@
 }
 
 impl State {
-    fn end(&mut self, key: Key) {
-        if let Some(it) = self.ends.get(&key) {
+    fn close_idle(&mut self, key: Key) {
+        if let Some(it) = self.close_signals.get(&key) {
             self.replaced += 1;
             it.notify_one();
         }
     }
 
-    /// Logs who holds the places while none is free.
-    fn tell(&mut self, now: Ms, peer: SocketAddr) {
-        let Some(count) = self.log.count(now) else {
+    /// Logs the use of the places while none is free.
+    fn log_full(&mut self, now: Ms, peer: SocketAddr) {
+        let Some(count) = self.throttle.count(now) else {
             return;
         };
         let gauges = self.connections.gauges(now);
@@ -129,33 +130,33 @@
     }
 }
 
-impl Open {
-    /// Notes that a request has begun.
-    pub fn begin(&self) -> Busy {
-        self.lines.lock().connections.begin(self.key);
-        Busy {
-            lines: self.lines.clone(),
+impl OpenConnection {
+    /// Marks the connection as busy with a request.
+    pub fn begin_request(&self) -> ActiveRequest {
+        self.table.lock().connections.begin(self.key);
+        ActiveRequest {
+            table: self.table.clone(),
             key: self.key,
         }
     }
 
-    /// Waits until the connection is to end in favour of a new one.
-    pub async fn ending(&self) {
-        self.end.notified().await;
+    /// Waits until the connection is told to close in favour of a new one.
+    pub async fn closing(&self) {
+        self.close_signal.notified().await;
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        let mut state = self.lines.lock();
-        state.ends.remove(&self.key);
+        let mut state = self.table.lock();
+        state.close_signals.remove(&self.key);
         state.connections.leave(self.key);
     }
 }
 
-impl Drop for Busy {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        let now = self.lines.0.clock.now();
-        self.lines.lock().connections.end(self.key, now);
+        let now = self.table.0.clock.now();
+        self.table.lock().connections.end(self.key, now);
     }
 }
--- a/crates/node/src/traffic/once.rs
+++ b/crates/node/src/traffic/once.rs
@@ -1,4 +1,5 @@
-//! At most once: a run is claimed before the first byte goes out and settled after the last came in.
+//! At-most-once execution: a request is claimed before its first byte is sent to the upstream, and settled with
+//! its outcome after the last byte of the answer.
 
 use std::time::Duration;
 
@@ -6,7 +7,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode, response};
 use laburnum_kernel::{
     Call, Ms, Reply,
-    once::{self, Answer as Kept, AttemptId, Ended, KEY_MAX, Key},
+    once::{self, Answer as StoredAnswer, AttemptId, Ended, KEY_MAX, Key},
     refusal::{Reason, Refusal},
 };
 use tokio::time::timeout_at;
@@ -14,18 +15,19 @@
 use super::{
     Traffic,
     answer::Answer,
-    counts::Claimed,
+    counts::ClaimResult,
     denial::{self, Denial},
     headers::{IDEMPOTENCY_KEY, OUTCOME, RAN, REPLAYED},
     owner::{Job, Window},
 };
 
-/// How long a run goes on after its deadline, so that its outcome is known to those who ask again.
-const OVERTIME: Duration = Duration::from_secs(10);
-/// When to come back if too many claims are on their way, in ms.
-const CLAIMS_MS: u64 = 100;
+/// Time for which a run may continue after its deadline, so that its outcome is known to later requests with
+/// the same key.
+const RUN_EXTENSION: Duration = Duration::from_secs(10);
+/// Retry delay when too many claim requests are in flight, in ms.
+const CLAIM_RETRY_MS: u64 = 100;
 
-/// Reads the caller's idempotency key.
+/// Returns the caller's idempotency key.
 pub(super) fn key_of(headers: &HeaderMap) -> Result<&str, Denial> {
     let mut values = headers.get_all(IDEMPOTENCY_KEY).iter();
     let key = values.next().and_then(|it| it.to_str().ok());
@@ -33,33 +35,33 @@
         (Some(key), None) if (1..=KEY_MAX).contains(&key.len()) => Ok(key),
         _ => {
             let why = format!(
-                "this route runs at most once: send one Idempotency-Key of 1 to {KEY_MAX} characters"
+                "requests of this route run at most once; send exactly one Idempotency-Key header of 1 to {KEY_MAX} characters"
             );
             Err(Denial::bad(StatusCode::BAD_REQUEST, "idempotency-key", why))
         }
     }
 }
 
-/// What a claim met.
+/// Result of a claim.
 enum Claim {
-    /// Run it before `until`.
+    /// The request may run if it starts before `until`.
     Granted { until: Ms },
-    /// It ran before.
-    Replay(Kept),
+    /// The request ran before; this is its stored answer.
+    Replay(StoredAnswer),
 }
 
 impl Traffic {
-    /// Runs `job` at most once. The run goes on when its caller leaves, so that its answer is kept.
+    /// Runs `job` at most once. The run continues if its caller disconnects, so that its answer is stored.
     pub(super) async fn run_once(&self, job: Job) -> Result<Response<Body>, Denial> {
         let key = Key {
-            service: job.present.service.clone(),
+            service: job.active.service.clone(),
             text: key_of(&job.headers)?.to_owned(),
         };
         let deadline = self.instant(job.deadline);
         let traffic = self.clone();
-        let owned = self.owned_guard();
+        let owned = self.count_owned();
         let run = tokio::spawn(async move {
-            let result = traffic.claimed(job, key).await;
+            let result = traffic.run_claimed(job, key).await;
             drop(owned);
             result
         });
@@ -67,16 +69,16 @@
             Ok(Ok(result)) => result,
             Ok(Err(_)) => Err(Denial::unknown(
                 "node-fault",
-                "the run failed; ask again with the same key",
+                "an internal error of the node ended the run; retry with the same Idempotency-Key",
             )),
             Err(_) => {
-                let why = "no answer by the deadline: ask again with the same Idempotency-Key";
+                let why = "no answer by the deadline; retry with the same Idempotency-Key";
                 Err(Denial::unknown(denial::DEADLINE, why))
             }
         }
     }
 
-    async fn claimed(&self, job: Job, key: Key) -> Result<Response<Body>, Denial> {
+    async fn run_claimed(&self, job: Job, key: Key) -> Result<Response<Body>, Denial> {
         let attempt = AttemptId(rand::random());
         let until = match self.claim(&job, &key, attempt).await? {
             Claim::Granted { until } => until,
@@ -96,16 +98,16 @@
         };
         let window = Window {
             start: until.min(job.deadline.at()),
-            end: self.instant(job.deadline) + OVERTIME,
+            end: self.instant(job.deadline) + RUN_EXTENSION,
         };
         let result = self.exchange(job, slot, window).await;
         let ended = match &result {
-            Ok(Answer::Whole(parts, bytes)) => Ended::Ran(kept(parts, bytes)),
+            Ok(Answer::Whole(parts, bytes)) => Ended::Ran(stored(parts, bytes)),
             Ok(Answer::Streamed(_)) | Err(Denial::Unknown { .. }) => Ended::Unknown,
             Err(Denial::Refused(_) | Denial::Busy { .. } | Denial::Bad { .. }) => Ended::NotRun,
-            Err(denial @ Denial::Unfit { .. }) => {
+            Err(denial @ Denial::Undeliverable { .. }) => {
                 let (parts, _) = denial.response().into_parts();
-                Ended::Ran(kept(&parts, &[]))
+                Ended::Ran(stored(&parts, &[]))
             }
         };
         self.settle(key, attempt, ended);
@@ -115,29 +117,34 @@
         }
     }
 
-    /// Asks for the right to run.
+    /// Requests a claim and counts its result.
     async fn claim(&self, job: &Job, key: &Key, attempt: AttemptId) -> Result<Claim, Denial> {
-        let claim = self.ask_claim(job, key, attempt).await;
-        self.0.counts.claimed(match claim {
-            Ok(Claim::Granted { .. }) => Claimed::Granted,
-            Ok(Claim::Replay(_)) => Claimed::Replayed,
-            Err(_) => Claimed::Refused,
+        let claim = self.request_claim(job, key, attempt).await;
+        self.0.counts.count_claim(match claim {
+            Ok(Claim::Granted { .. }) => ClaimResult::Granted,
+            Ok(Claim::Replay(_)) => ClaimResult::Replayed,
+            Err(_) => ClaimResult::Refused,
         });
         claim
     }
 
-    async fn ask_claim(&self, job: &Job, key: &Key, attempt: AttemptId) -> Result<Claim, Denial> {
-        let Ok(_place) = self.0.claims.clone().try_acquire_owned() else {
-            return Err(no_claim(CLAIMS_MS));
+    async fn request_claim(
+        &self,
+        job: &Job,
+        key: &Key,
+        attempt: AttemptId,
+    ) -> Result<Claim, Denial> {
+        let Ok(_permit) = self.0.claims.clone().try_acquire_owned() else {
+            return Err(no_claim(CLAIM_RETRY_MS));
         };
         let call = once::Call::Claim {
             key: key.clone(),
             attempt,
-            print: job.print,
+            print: job.fingerprint,
         };
         let reply = self.0.control.call(Call::Once(call)).await;
         let Ok(Reply::Once(reply)) = reply else {
-            return Err(no_claim(CLAIMS_MS));
+            return Err(no_claim(CLAIM_RETRY_MS));
         };
         match reply {
             once::Reply::Granted { until } => Ok(Claim::Granted { until }),
@@ -146,17 +153,17 @@
             once::Reply::Unknown { why } => Err(Denial::unknown(denial::CLAIMED, why)),
             once::Reply::Unavailable { after, .. } => Err(no_claim(after)),
             once::Reply::Mismatch => {
-                let why = "this Idempotency-Key was used for another request: choose a new one";
+                let why = "this Idempotency-Key was already used for a different request; choose a new key";
                 let status = StatusCode::UNPROCESSABLE_ENTITY;
                 Err(Denial::bad(status, "key-mismatch", why))
             }
-            _ => Err(no_claim(CLAIMS_MS)),
+            _ => Err(no_claim(CLAIM_RETRY_MS)),
         }
     }
 
-    /// Has the outcome kept, in the background; a node that leaves waits for it.
+    /// Stores the outcome in the background; a node that stops waits for this.
     fn settle(&self, key: Key, attempt: AttemptId, ended: Ended) {
-        let owned = self.owned_guard();
+        let owned = self.count_owned();
         let control = self.0.control.clone();
         tokio::spawn(async move {
             let call = once::Call::Settle {
@@ -164,7 +171,7 @@
                 attempt,
                 ended,
             };
-            // Without a control thread the claim's holder is gone, and the claim becomes unknown by itself.
+            // If the control thread has ended, the claim expires and its outcome becomes unknown.
             let _ = control.call(Call::Once(call)).await;
             drop(owned);
         });
@@ -175,23 +182,23 @@
     Denial::Refused(Refusal::after(Reason::NoClaim, after))
 }
 
-fn kept(parts: &response::Parts, body: &[u8]) -> Kept {
+fn stored(parts: &response::Parts, body: &[u8]) -> StoredAnswer {
     let headers = parts.headers.iter().filter_map(|(name, value)| {
         let value = value.to_str().ok()?.to_owned();
         Some((name.as_str().to_owned(), value))
     });
-    Kept {
+    StoredAnswer {
         status: parts.status.as_u16(),
         headers: headers.collect(),
         body: body.to_vec(),
     }
 }
 
-fn replay(kept: &Kept) -> Response<Body> {
-    let mut response = Response::new(Body::from(kept.body.clone()));
-    *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
+fn replay(stored: &StoredAnswer) -> Response<Body> {
+    let mut response = Response::new(Body::from(stored.body.clone()));
+    *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
-    for (name, value) in &kept.headers {
+    for (name, value) in &stored.headers {
         if let (Ok(name), Ok(value)) = (name.parse::<HeaderName>(), HeaderValue::from_str(value)) {
             headers.append(name, value);
         }
