--- a/crates/node/tests/caller_faults.rs
+++ b/crates/node/tests/caller_faults.rs
@@ -1,4 +1,4 @@
-//! What callers see when they are at fault, and that others see nothing of it.
+//! Answers to faulty callers, and isolation of other callers from them.
 
 mod common;
 
@@ -16,11 +16,10 @@
     net::TcpStream,
 };
 
-/// Requests that each scripted upstream handles at once.
+/// Number of requests that each scripted upstream handles at once.
 const SLOTS: usize = 6;
 
-// A caller sends something that cannot be carried. It is refused with a reason, as not run, and the upstream
-// sees nothing of it.
+// Invalid requests are rejected with a reason and "not run", and never reach the upstream.
 #[test_case("GET", "/nowhere", &[], 404, "no-route" ; "a path without a route")]
 #[test_case("DELETE", "/drafts/1", &[], 404, "no-route" ; "a method without a route")]
 #[test_case("POST", "/filings", &[], 400, "idempotency-key" ; "a filing without a key")]
@@ -30,7 +29,7 @@
 #[test_case("GET", "/drafts/1", &[("laburnum-deadline", "0")], 504, "expired" ; "a deadline that has passed")]
 #[test_case("GET", "/drafts/1", &[("laburnum-budget", "many")], 400, "bad-header" ; "a retry budget that is none")]
 #[tokio::test(flavor = "multi_thread")]
-async fn faulty_request_is_refused_unrun(
+async fn invalid_request_is_rejected(
     method: &str,
     path: &str,
     fields: &[(&str, &str)],
@@ -51,8 +50,8 @@
     cluster.close().await;
 }
 
-// A caller sends bytes that are no proper request. The node answers with an error or closes the connection
-// within its bounds, and a proper request is answered as before.
+// Malformed input gets an error or a closed connection within the limits, and other callers are served as
+// before.
 #[test_case(b"GET /drafts/1 HTTP/1.1\r\n\r\n" ; "without a host")]
 #[test_case(b"GET /drafts/1 HTTP/1.1\r\nhost: desk\r\nhost: other\r\nconnection: close\r\n\r\n" ; "two hosts")]
 #[test_case(b"GET /drafts/1 HTTP/1.1\r\nhost: No Name\r\nconnection: close\r\n\r\n" ; "a host that is no name")]
@@ -63,7 +62,7 @@
 #[test_case(b"GET /dra" ; "a header that never ends")]
 #[test_case(b"" ; "silence")]
 #[tokio::test(flavor = "multi_thread")]
-async fn malformed_bytes_harm_nobody_else(bytes: &[u8]) {
+async fn malformed_input_does_not_affect_others(bytes: &[u8]) {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster_with(&[&fake], |it| it.callers.header_time = 50).await;
     let got = raw(cluster.caller(), bytes).await;
@@ -74,11 +73,11 @@
     cluster.close().await;
 }
 
-// A caller's header has too many fields, or is too long. It is refused without being buffered whole.
+// Requests with too many or too long header fields are rejected without buffering the whole header.
 #[test_case(100, 10 ; "too many fields")]
 #[test_case(1, 40_000 ; "a field that is too long")]
 #[tokio::test(flavor = "multi_thread")]
-async fn oversized_header_is_refused(fields: usize, length: usize) {
+async fn oversized_header_is_rejected(fields: usize, length: usize) {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster(&[&fake]).await;
     let mut text = String::from("GET /drafts/1 HTTP/1.1\r\nhost: desk\r\nconnection: close\r\n");
@@ -92,13 +91,12 @@
     cluster.close().await;
 }
 
-// A body is longer than the document allows, by its declared length or only as it arrives. It is refused, and
-// the upstream never gets a whole request that is not.
+// Bodies longer than the document allows are rejected, whether by declared length or as they arrive.
 #[test_case("PUT", "/drafts/1", "content-length: 300000\r\n\r\n", "413" ; "declared")]
 #[test_case("POST", "/filings", "idempotency-key: k\r\ncontent-length: 300000\r\n\r\n", "413" ; "declared for a filing")]
 #[test_case("POST", "/filings", "idempotency-key: k\r\ntransfer-encoding: chunked\r\n\r\n493e0\r\n", "413" ; "only as it arrives")]
 #[tokio::test(flavor = "multi_thread")]
-async fn oversized_body_is_refused(method: &str, path: &str, framing: &str, status: &str) {
+async fn oversized_body_is_rejected(method: &str, path: &str, framing: &str, status: &str) {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster(&[&fake]).await;
     let text = format!("{method} {path} HTTP/1.1\r\nhost: desk\r\nconnection: close\r\n{framing}");
@@ -108,7 +106,7 @@
     stream.write_all(text.as_bytes()).await.expect("written");
     let (mut reader, mut writer) = stream.into_split();
     let writing = tokio::spawn(async move {
-        // The node may close the connection before it took everything.
+        // The node may close the connection before it has read the whole body.
         let _ = writer.write_all(&vec![b'x'; 300_000]).await;
         writer
     });
@@ -120,12 +118,12 @@
     cluster.close().await;
 }
 
-// A caller sends half of its upload and hangs up. The upstream gets no request that looks whole.
+// A truncated upload must not reach the upstream as a whole request.
 #[test_case("PUT", "/drafts/1", "content-length: 100000" ; "streamed")]
 #[test_case("PUT", "/drafts/1", "content-length: 1000" ; "held")]
 #[test_case("POST", "/filings", "idempotency-key: k\r\ncontent-length: 100000" ; "a filing")]
 #[tokio::test(flavor = "multi_thread")]
-async fn upload_that_is_cut_is_never_seen_whole(method: &str, path: &str, fields: &str) {
+async fn truncated_upload_is_never_forwarded_whole(method: &str, path: &str, fields: &str) {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster(&[&fake]).await;
     let text = format!("{method} {path} HTTP/1.1\r\nhost: desk\r\n{fields}\r\n\r\nhalf");
@@ -144,7 +142,7 @@
     cluster.close().await;
 }
 
-// A long upload is streamed through both nodes and arrives whole.
+// Long uploads arrive whole through both nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn long_upload_arrives_whole() {
     let fake = Fake::start(|_| answer("stored")).await;
@@ -156,10 +154,10 @@
     cluster.close().await;
 }
 
-// A caller sends the fields that nodes speak to one another by, to be taken for a node, to choose an attempt
-// or to have a filing run like a read. None of them arrives, and the filing still needs its key.
+// Header fields for use between nodes are dropped when a caller sends them, so it cannot pose as a node or
+// change how its request is run.
 #[tokio::test(flavor = "multi_thread")]
-async fn spoofed_fields_are_dropped() {
+async fn spoofed_node_fields_are_dropped() {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster(&[&fake]).await;
     let spoofed = request("GET", cluster.caller(), "/drafts/1")
@@ -208,9 +206,9 @@
     cluster.close().await;
 }
 
-// Somebody who is no node speaks to the port for nodes. The request is refused and told where to go.
+// Requests of callers on the port for nodes are rejected.
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_on_the_port_for_nodes_is_refused() {
+async fn caller_on_port_for_nodes_is_rejected() {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster(&[&fake]).await;
     let got = raw(
@@ -223,10 +221,9 @@
     cluster.close().await;
 }
 
-// More callers connect than the node takes. Those beyond the bound are closed at once; a caller that was there
-// before is served all the while, and so is a new one as soon as a place is free.
+// Connections beyond the limit are closed at once; existing connections are still served.
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_beyond_the_bound_are_closed() {
+async fn connections_beyond_limit_are_closed() {
     let fake = Fake::start(|_| answer("draft")).await;
     let bounds = Bounds {
         connections: 2,
@@ -253,12 +250,9 @@
     cluster.close().await;
 }
 
-// Under overload a caller is refused and tries again on a new connection, while the old ones stay open and idle. When
-// they filled the node's places, every new connection was closed unread: of callers that open one for each request,
-// and of the upstream beside the node, whose runs failed for want of their own calls. Seen as upstreams that idle while
-// nothing is served; the log told 1,015 of 1,024 connections idle. A caller that connects then is served all the same.
+// Idle connections of callers must not lock out new ones: the oldest idle connection gives way.
 #[tokio::test(flavor = "multi_thread")]
-async fn idle_callers_shut_nobody_out() {
+async fn idle_callers_give_way_to_new_ones() {
     let fake = Fake::start(|_| answer("draft")).await;
     let bounds = Bounds {
         connections: 8,
@@ -291,10 +285,9 @@
     cluster.close().await;
 }
 
-// One caller asks far more often than the document allows. It is refused at once, as not run and with the time
-// to come back, and the upstream sees no more than the burst that the document allows.
+// Requests beyond a caller's rate limit are rejected as "not run", with a retry delay.
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_beyond_its_rate_is_refused() {
+async fn caller_beyond_its_rate_limit_is_rejected() {
     let fake = Fake::start(|_| answer("draft")).await;
     let document = DOCUMENT.replace("[limits]", "[limits]\ncaller = 3");
     let cluster = cluster_of(&[&fake], |_| (), &document).await;
@@ -315,10 +308,10 @@
     cluster.close().await;
 }
 
-// Callers ask for long answers and read nothing of them, until every slot of the upstream is taken. Their requests
-// end at their deadline whatever they do, so another caller is served, and their connections are cut.
+// Callers that do not read their answers must not occupy the upstream's slots beyond their deadline; their
+// connections are closed.
 #[tokio::test(flavor = "multi_thread")]
-async fn stalled_readers_disturb_nobody() {
+async fn stalled_readers_do_not_block_others() {
     const LONG: usize = 16 * 1024 * 1024;
     let fake = Fake::start(|seen| match seen.head.contains("/slow") {
         true => answer(&"x".repeat(LONG)),
@@ -343,16 +336,16 @@
     }
     for mut stream in stalled {
         let mut got = Vec::new();
-        // A reset is as good an end as a close.
+        // The connection may end with a reset.
         let _ = stream.read_to_end(&mut got).await;
         assert!(got.len() < LONG);
     }
     cluster.close().await;
 }
 
-// Bodies are held to be sent again only as long as all of them together fit the node's budget.
+// Bodies buffered for retries share one memory budget.
 #[test]
-fn held_bodies_share_one_budget() {
+fn buffered_bodies_share_one_budget() {
     let budget = Budget::new(100);
     let first = budget.take(60).expect("a share");
     assert!(budget.take(60).is_none());
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes on loopback sockets with scripted upstreams.
+//! Test fixture: nodes on loopback sockets with scripted upstreams.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -42,22 +42,22 @@
 /// The document of service `desk`.
 pub const DOCUMENT: &str = include_str!("../data/desk.toml");
 
-/// Polls of [`until`] before it gives up: at least a minute, far more than any wait here takes.
+/// Maximum number of polls in [`until`]: at least a minute.
 const POLLS_MAX: usize = 12_000;
-/// Attempts of a test that asks again and again; each takes a millisecond or more.
+/// Maximum number of attempts of a test that repeats a request.
 pub const ATTEMPTS_MAX: usize = 5_000;
 /// Interval of a scripted upstream's announcements.
 const ANNOUNCE: Duration = Duration::from_millis(500);
-/// Longest wait for one answer; the longest deadline of a route is a tenth of it.
+/// Timeout for one answer; ten times the longest deadline of a route.
 const ANSWER_MAX: Duration = Duration::from_secs(60);
 
-/// Polls `ready` until it holds. A condition that never comes true fails the test instead of hanging it.
+/// Polls `ready` until it returns true. Panics instead of hanging if it never does.
 #[track_caller]
 pub fn until(ready: impl FnMut() -> bool) -> impl Future<Output = ()> {
     until_or(ready, String::new)
 }
 
-/// The same; `state` tells what was there instead.
+/// As [`until`]; `state` describes the state for the panic message.
 #[track_caller]
 pub fn until_or(
     mut ready: impl FnMut() -> bool,
@@ -78,7 +78,7 @@
     }
 }
 
-/// What each node knows of the service.
+/// Describes each node's view of the service.
 pub fn views(nodes: &[Running]) -> String {
     let lines = nodes.iter().map(|it| {
         let view = it.node.control().view();
@@ -90,7 +90,7 @@
     lines.collect()
 }
 
-/// The phase of the only upstream as the entry sees it.
+/// Returns the phase of the only upstream in the entry's view.
 pub fn phase(cluster: &Cluster) -> Option<Phase> {
     let view = cluster.nodes[0].node.control().view();
     let name = "desk".parse().expect("a name");
@@ -98,35 +98,35 @@
     service.endpoints.first().map(|it| it.phase)
 }
 
-/// What a scripted upstream does with a request.
+/// Action of a scripted upstream on a request.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// Writes these bytes.
     Write(Vec<u8>),
-    /// Waits until [`Fake::release`].
+    /// Waits until [`Fake::release`] is called.
     Hold,
     /// Waits until the node closes the connection.
     Wait,
     /// Closes the connection.
     Close,
-    /// Closes the connection and stops listening, as a process that crashes does.
+    /// Closes the connection and stops listening, like a process that crashes.
     Crash,
 }
 
-/// A request as the upstream read it.
+/// A request that the upstream received.
 #[derive(Clone, Debug)]
 pub struct Seen {
     /// Request line and fields.
     pub head: String,
     /// The whole body.
     pub body: Vec<u8>,
-    /// Which connection it came on, from 0.
+    /// Number of the connection, from 0.
     pub connection: usize,
 }
 
 /// A scripted upstream.
 pub struct Fake {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     task: JoinHandle<()>,
@@ -137,17 +137,17 @@
 struct Shared {
     script: Script,
     seen: Mutex<Vec<Seen>>,
-    /// Exchanges in which the node closed the connection before the answer was done.
+    /// Number of exchanges in which the node closed the connection before the answer was complete.
     cancelled: AtomicUsize,
     released: watch::Sender<bool>,
-    /// Whether it announces itself no more.
+    /// Whether it has stopped announcing itself.
     silent: AtomicBool,
-    /// The phase that it reports.
+    /// Phase that it reports.
     phase: Mutex<&'static str>,
     crashed: watch::Sender<bool>,
 }
 
-/// A whole answer with this body.
+/// Returns the steps of a complete answer with this body.
 pub fn answer(body: &str) -> Vec<Step> {
     let text = format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
@@ -157,7 +157,7 @@
 }
 
 impl Fake {
-    /// Answers every request, but for questions for its health, by `script`.
+    /// Starts an upstream that answers health checks itself and other requests by `script`.
     pub async fn start(script: impl Fn(&Seen) -> Vec<Step> + Send + Sync + 'static) -> Fake {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
@@ -178,18 +178,18 @@
         }
     }
 
-    /// Requests read so far, without questions for health.
+    /// Returns the requests received so far, without health checks.
     pub fn seen(&self) -> Vec<Seen> {
         self.shared.seen.lock().expect("no panic").clone()
     }
 
-    /// Exchanges that the node cut.
+    /// Returns the number of exchanges that the node closed early.
     pub fn cancelled(&self) -> usize {
         self.shared.cancelled.load(Ordering::SeqCst)
     }
 
-    /// Announces itself as ready until it crashes, reports a phase or is dropped. The node withdraws an upstream
-    /// that stops for 5 s: on a busy machine a cluster takes longer than that to form.
+    /// Announces itself as ready until it crashes, reports a phase or is dropped. Repeated, because a node
+    /// withdraws an upstream that is silent for 5 s, and a cluster may take longer to form.
     fn announce(&self, upstream: Upstream) {
         let announcement = Announcement {
             service: "desk".parse().expect("a name"),
@@ -210,13 +210,13 @@
         });
     }
 
-    /// Reports this phase to whoever polls it from now on, and announces nothing more.
+    /// Reports `phase` to health checks from now on, and stops announcing itself.
     pub fn report(&self, phase: &'static str) {
         self.shared.silent.store(true, Ordering::SeqCst);
         *self.shared.phase.lock().expect("no panic") = phase;
     }
 
-    /// Lets every [`Step::Hold`] go on.
+    /// Lets every [`Step::Hold`] continue.
     pub fn release(&self) {
         self.shared.released.send_replace(true);
     }
@@ -251,7 +251,7 @@
     }
 }
 
-/// Serves one connection until it ends; `None` at its end.
+/// Serves one connection; returns `None` when it ends.
 async fn connection(mut stream: TcpStream, number: usize, shared: &Shared) -> Option<()> {
     loop {
         let seen = read(&mut stream, number).await?;
@@ -333,7 +333,7 @@
         }
     }
     let head = String::from_utf8_lossy(&bytes).into_owned();
-    // Methods and paths keep their case; field names come in lower case from the node.
+    // The node sends field names in lower case; methods and paths keep their case.
     Some(Seen {
         head,
         body,
@@ -341,24 +341,24 @@
     })
 }
 
-/// Passes TCP connections on, until they go silent: open, with nothing arriving and no error.
+/// Forwards TCP connections and can silence them: they stay open, but nothing arrives and no error is reported.
 pub struct Forwarder {
     connections: Arc<AtomicUsize>,
-    /// Connections with a lower number pass nothing on.
+    /// Connections with a lower number are silent.
     silent: watch::Sender<usize>,
     task: JoinHandle<()>,
 }
 
 impl Forwarder {
-    /// Passes what `listener` accepts on to `target`.
+    /// Forwards the connections that `listener` accepts to `target`.
     pub fn start(listener: TcpListener, target: SocketAddr) -> Forwarder {
         let connections = Arc::new(AtomicUsize::new(0));
         let silent = watch::Sender::new(0);
-        let (count, heard) = (connections.clone(), silent.subscribe());
+        let (count, receiver) = (connections.clone(), silent.subscribe());
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let number = count.fetch_add(1, Ordering::SeqCst);
-                tokio::spawn(forward(stream, target, number, heard.clone()));
+                tokio::spawn(forward(stream, target, number, receiver.clone()));
             }
         });
         Forwarder {
@@ -368,12 +368,12 @@
         }
     }
 
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// All connections of now go silent; later ones do not.
+    /// Silences all connections accepted so far; later ones work.
     pub fn silence(&self) {
         self.silent.send_replace(self.connections());
     }
@@ -412,18 +412,18 @@
     pub config: Config,
 }
 
-/// Nodes that know one another and the document: first an entry without upstream, then one beside each upstream.
+/// Nodes that know one another and the document: an entry without upstream, then one node beside each upstream.
 pub struct Cluster {
     /// The nodes.
     pub nodes: Vec<Running>,
 }
 
-/// Starts a cluster; `adjust` changes each node's settings before.
+/// Starts a cluster; `adjust` changes each node's settings first.
 pub async fn cluster_with(fakes: &[&Fake], adjust: impl Fn(&mut Config)) -> Cluster {
     cluster_of(fakes, adjust, DOCUMENT).await
 }
 
-/// Starts a cluster under a document of its own.
+/// Starts a cluster with the given document.
 pub async fn cluster_of(fakes: &[&Fake], adjust: impl Fn(&mut Config), document: &str) -> Cluster {
     let platform = Arc::new(Memory::default());
     let mut nodes: Vec<Running> = Vec::new();
@@ -486,7 +486,7 @@
 }
 
 impl Cluster {
-    /// Where callers reach the entry.
+    /// Returns the entry's address for callers.
     pub fn caller(&self) -> SocketAddr {
         self.nodes[0].config.caller
     }
@@ -504,29 +504,29 @@
     }
 }
 
-/// An answer read whole, or the fault that cut it.
+/// An answer as the caller received it.
 #[derive(Debug)]
 pub struct Got {
     /// Status and fields.
     pub head: http::response::Parts,
-    /// The body, if it was whole.
+    /// The body; `None` if it was truncated.
     pub body: Option<Bytes>,
 }
 
 impl Got {
-    /// A field as text, empty if absent.
+    /// Returns a field as text, empty if absent.
     pub fn field(&self, name: &str) -> &str {
         let value = self.head.headers.get(name);
         value.and_then(|it| it.to_str().ok()).unwrap_or_default()
     }
 }
 
-/// A caller's client.
+/// Creates a caller's HTTP client.
 pub fn client() -> Client<HttpConnector, Body> {
     Client::builder(TokioExecutor::new()).build(HttpConnector::new())
 }
 
-/// A request for the service.
+/// Builds a request for the service.
 pub fn request(method: &str, caller: SocketAddr, path: &str) -> request::Builder {
     Request::builder()
         .method(method)
@@ -555,12 +555,12 @@
     }
 }
 
-/// Sends bytes over a connection of their own and reads until the node closes it.
+/// Sends bytes on a new connection and reads until the node closes it.
 pub async fn raw(caller: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(caller).await.expect("a connection");
     stream.write_all(bytes).await.expect("written");
     let mut got = Vec::new();
-    // A reset after the answer is as good an end as a close.
+    // The connection may end with a reset after the answer.
     let _ = stream.read_to_end(&mut got).await;
     String::from_utf8_lossy(&got).into_owned()
 }
--- a/crates/node/tests/connection_memory.rs
+++ b/crates/node/tests/connection_memory.rs
@@ -1,8 +1,5 @@
-//! What a connection to another node costs in memory.
-//!
-//! A node of a large fleet holds a connection to each node that it sends requests to, and one from each that sends to
-//! it. What one of them keeps while nothing is on its way, times the members of an availability zone, is most of what a
-//! process holds beyond its program.
+//! Memory use of idle connections between nodes, of which a node in a large fleet holds one to and one from
+//! each node of its availability zone.
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,9 +8,9 @@
 use laburnum_edge::Clock;
 use laburnum_node::traffic::{
     faults::Faults,
-    lines::Lines,
+    lines::OpenConnections,
     peers::{Peers, Sent},
-    serve::{Bounds, Server, Speech},
+    serve::{Bounds, Protocols, Server},
 };
 use tokio::{net::TcpListener, sync::watch, time::Instant};
 use tower::service_fn;
@@ -25,9 +22,9 @@
     let address = listener.local_addr().expect("an address");
     let server = Server {
         listener,
-        speech: Speech::Http2,
+        protocols: Protocols::Http2,
         bounds: Box::new(Bounds::default),
-        lines: Lines::new(Clock::system(), 2 * CONNECTIONS),
+        connections: OpenConnections::new(Clock::system(), 2 * CONNECTIONS),
         faults: Arc::new(Faults::new(Clock::system())),
     };
     let (stop, stopped) = watch::channel(false);
@@ -37,8 +34,8 @@
     (address, stop)
 }
 
-/// Memory of this process that is not shared with its program's file, in bytes.
-fn private() -> usize {
+/// Returns the private memory of this process, in bytes.
+fn private_memory() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").expect("Linux");
     let fields: Vec<usize> = text
         .split(' ')
@@ -64,17 +61,17 @@
 }
 
 #[tokio::test]
-async fn idle_connection_between_nodes_holds_little() {
+async fn idle_node_connection_uses_little_memory() {
     let (address, _stop) = server().await;
     let warm = Peers::default();
     exchange(&warm, address).await;
-    let before = private();
+    let before = private_memory();
     let peers: Vec<Peers> = (0..CONNECTIONS).map(|_| Peers::default()).collect();
     for it in &peers {
         for _ in 0..10 {
             exchange(it, address).await;
         }
     }
-    let each = (private() - before) / CONNECTIONS;
+    let each = (private_memory() - before) / CONNECTIONS;
     assert!(each < 60 * 1024, "{each} bytes");
 }
--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! A node that is told to stop.
+//! Drain and shutdown of nodes.
 
 mod common;
 
@@ -6,7 +6,7 @@
 
 use common::{Fake, Step, answer, cluster, cluster_with, raw, request, send, spawn, until};
 
-/// Longer than any test takes.
+/// Longer than any test runs.
 const HOUR_MS: u64 = 3_600_000;
 
 fn held() -> Vec<Step> {
@@ -15,10 +15,9 @@
     steps
 }
 
-// A node is told to stop while a read and a filing run at its upstream. Both get their whole answers, by way
-// of an entry on another node, and only then does the node end.
+// A node that drains completes the requests at its upstream before it stops, and rejects new ones as "not run".
 #[tokio::test(flavor = "multi_thread")]
-async fn drain_cuts_no_request_in_progress() {
+async fn drain_completes_requests_in_progress() {
     let fake = Fake::start(|_| held()).await;
     let mut cluster = cluster(&[&fake]).await;
     let reading = spawn(send(request("GET", cluster.caller(), "/drafts/1"), ""));
@@ -35,7 +34,7 @@
             .is_some_and(|it| it.phase == Phase::Draining)
     })
     .await;
-    // New work is refused unrun while the old goes on.
+    // New requests are rejected while the old ones continue.
     let refused = send(request("GET", cluster.caller(), "/drafts/2"), "").await;
     assert_eq!(refused.field("laburnum-outcome"), "not-run");
     assert!(!closing.is_finished());
@@ -50,9 +49,9 @@
     cluster.close().await;
 }
 
-// The entry is told to stop while it waits for another node's answer. Its caller gets the whole answer.
+// An entry that stops while it waits for an owner still forwards the whole answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn entry_that_stops_hands_on_answers_in_progress() {
+async fn stopping_entry_forwards_pending_answers() {
     let fake = Fake::start(|_| held()).await;
     let mut cluster = cluster(&[&fake]).await;
     let reading = spawn(send(request("GET", cluster.caller(), "/drafts/1"), ""));
@@ -66,11 +65,10 @@
     cluster.close().await;
 }
 
-// An entry is told to stop while an upstream that answers late still works on one request, and the body of another is
-// still on its way. When the grace ends both callers get an answer, not a closed connection: the first may have been
-// run, the second surely was not and may be sent again elsewhere.
+// At the end of the grace period pending requests get an answer instead of a closed connection: "unknown" if
+// forwarded, else "not run".
 #[tokio::test(flavor = "multi_thread")]
-async fn entry_whose_grace_ends_answers_what_it_holds() {
+async fn end_of_grace_answers_pending_requests() {
     let fake = Fake::start(|_| held()).await;
     let mut cluster = cluster_with(&[&fake], |it| it.grace = 600).await;
     let caller = cluster.caller();
@@ -79,7 +77,7 @@
     let head = b"PUT /drafts/2 HTTP/1.1\r\nhost: desk\r\ncontent-length: 9\r\n\r\nhalf";
     let half = spawn(async move { raw(caller, head).await });
     // Both are in progress before the entry stops.
-    until(|| cluster.nodes[0].node.carried() == 2).await;
+    until(|| cluster.nodes[0].node.in_progress() == 2).await;
     let entry = cluster.nodes.remove(0);
     let closing = spawn(entry.node.close());
     let got = reading.await.expect("an answer");
@@ -93,10 +91,9 @@
     cluster.close().await;
 }
 
-// One of two nodes drains while callers keep asking. Every request is answered by an upstream: a refusal by
-// the draining node is not run, and goes to the other one.
+// While a node drains, its refusals are retried at another node, and callers see no failure.
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_see_nothing_of_a_node_that_drains() {
+async fn draining_node_causes_no_failed_requests() {
     let (first, second) = (
         Fake::start(|_| answer("first")).await,
         Fake::start(|_| answer("second")).await,
@@ -112,11 +109,10 @@
     cluster.close().await;
 }
 
-// Nodes are stopped in turn, each beside an upstream that goes on living. A node took no work for it from the moment it
-// was told, though it stayed for three seconds more until callers had noticed: of twelve upstreams three were idle all
-// the while, and reads were refused for want of slots. Until shortly before it leaves, work for its upstream is taken.
+// A stopping node still accepts requests for its upstream until shortly before it leaves; otherwise upstreams
+// would be idle while callers notice the stop.
 #[tokio::test(flavor = "multi_thread")]
-async fn upstream_of_a_stopping_node_works_on_while_callers_notice() {
+async fn lingering_node_still_uses_its_upstream() {
     let fake = Fake::start(|_| answer("draft")).await;
     let mut cluster = cluster_with(&[&fake], |it| {
         it.linger = HOUR_MS;
@@ -129,7 +125,7 @@
         let got = send(request("GET", cluster.caller(), "/drafts/1"), "").await;
         assert_eq!(got.field("laburnum-outcome"), "ran", "{got:?}");
     }
-    // Nobody waits for the hour to pass.
+    // The linger time of an hour is not waited for.
     closing.abort();
     for it in cluster.nodes {
         it.node.kill().await;
--- a/crates/node/tests/node_faults.rs
+++ b/crates/node/tests/node_faults.rs
@@ -1,4 +1,4 @@
-//! What callers see when another node fails.
+//! Answers to callers when another node fails.
 
 mod common;
 
@@ -17,11 +17,11 @@
 use test_case::test_case;
 use tokio::{net::TcpListener, task::JoinHandle};
 
-/// Frees the only owner's port for nodes; the member records still name it.
-async fn vacate(cluster: &mut Cluster) -> TcpListener {
+/// Stops the only owner and takes over its port for nodes; the member records still contain it.
+async fn take_over_port(cluster: &mut Cluster) -> TcpListener {
     let owner = cluster.nodes.remove(1);
     let address = owner.config.traffic;
-    // Dropped without a drain: its sockets close and its control thread goes on, as if only its traffic
+    // Dropped without a drain: its sockets close and its control thread continues, as if only its traffic
     // threads had failed.
     drop(owner.node);
     let mut listener = None;
@@ -35,7 +35,7 @@
     TcpListener::from_std(listener).expect("a socket of tokio")
 }
 
-/// Answers as an owner does.
+/// Serves HTTP/2 in place of an owner.
 fn serve(
     listener: TcpListener,
     respond: impl Fn(&HeaderMap) -> Response<Body> + Clone + Send + 'static,
@@ -53,24 +53,23 @@
     })
 }
 
-/// Puts a server in the place of the only owner's port for nodes.
-async fn replace(
+/// Replaces the only owner by a server that answers with `respond`.
+async fn replace_owner(
     cluster: &mut Cluster,
     respond: impl Fn(&HeaderMap) -> Response<Body> + Clone + Send + 'static,
 ) -> JoinHandle<()> {
-    serve(vacate(cluster).await, respond)
+    serve(take_over_port(cluster).await, respond)
 }
 
-// The owner answers with what belongs to another exchange, or with what no owner says. The caller never sees
-// that answer: it gets an error that says "unknown", for the request may have been run.
+// An owner's answer with another exchange number must not reach the caller; the outcome is "unknown".
 #[test_case(&[("laburnum-outcome", "ran"), ("laburnum-request", "7")] ; "the number of another exchange")]
 #[test_case(&[("laburnum-outcome", "ran")] ; "no number")]
 #[test_case(&[("laburnum-outcome", "not-run"), ("laburnum-reason", "draining"), ("laburnum-request", "7")] ; "another's refusal")]
 #[tokio::test(flavor = "multi_thread")]
-async fn crossed_answer_is_never_handed_on(fields: &'static [(&'static str, &'static str)]) {
+async fn answer_of_another_request_is_dropped(fields: &'static [(&'static str, &'static str)]) {
     let fake = Fake::start(|_| answer("own draft")).await;
     let mut cluster = cluster(&[&fake]).await;
-    let server = replace(&mut cluster, move |_| {
+    let server = replace_owner(&mut cluster, move |_| {
         let mut response = Response::builder();
         for (name, value) in fields {
             response = response.header(*name, *value);
@@ -90,15 +89,14 @@
     cluster.close().await;
 }
 
-// The owner gives the right number and no outcome that an entry knows. Nothing can be said of the request, so
-// the caller is told "unknown".
+// An owner's answer without a known outcome counts as "unknown".
 #[test_case("" ; "no outcome")]
 #[test_case("perhaps" ; "an outcome of a later version")]
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_without_a_known_outcome_counts_as_unknown(outcome: &'static str) {
+async fn missing_outcome_counts_as_unknown(outcome: &'static str) {
     let fake = Fake::start(|_| answer("own draft")).await;
     let mut cluster = cluster(&[&fake]).await;
-    let server = replace(&mut cluster, move |asked| {
+    let server = replace_owner(&mut cluster, move |asked| {
         let mut response = Response::new(Body::from("draft"));
         let headers = response.headers_mut();
         headers.insert("laburnum-request", asked["laburnum-request"].clone());
@@ -116,13 +114,12 @@
     cluster.close().await;
 }
 
-// The owner's process is gone and its record has not lapsed. Nothing could be sent, so the entry says "not
-// run", at once, even for a filing.
+// Requests for an owner whose process has ended are "not run" at once, because nothing was sent.
 #[tokio::test(flavor = "multi_thread")]
-async fn request_to_a_node_that_is_gone_was_not_run() {
+async fn request_to_ended_node_is_not_run() {
     let fake = Fake::start(|_| answer("own draft")).await;
     let mut cluster = cluster(&[&fake]).await;
-    let server = replace(&mut cluster, |_| Response::new(Body::empty())).await;
+    let server = replace_owner(&mut cluster, |_| Response::new(Body::empty())).await;
     server.abort();
     let _ = server.await;
     let filing = request("POST", cluster.caller(), "/filings").header("idempotency-key", "k1");
@@ -132,28 +129,27 @@
     cluster.close().await;
 }
 
-// The connection between two nodes goes silent while nobody uses it: bytes vanish and no error arrives. A filing
-// goes out on it and is lost; the pings find out long before the filing's deadline. The caller is told "unknown"
-// and the filing is not sent again, since the owner may have had it. The next filing opens a new connection.
+// A connection between nodes that died silently is detected by pings. The request on it is "unknown" and not
+// sent again; the next one uses a new connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_connection_to_a_node_is_replaced_and_its_filing_not_rerun() {
+async fn silent_node_connection_is_replaced() {
     let fake = Fake::start(|_| answer("unused")).await;
     let document = DOCUMENT.replace("6s", "30s");
     let mut cluster = cluster_of(&[&fake], |_| (), &document).await;
     let keys: Arc<Mutex<Vec<HeaderValue>>> = Arc::default();
-    let noted = keys.clone();
+    let recorded = keys.clone();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let target = listener.local_addr().expect("an address");
     let server = serve(listener, move |asked| {
         let key = asked["idempotency-key"].clone();
-        noted.lock().expect("no panic").push(key);
+        recorded.lock().expect("no panic").push(key);
         let mut response = Response::new(Body::from("filed"));
         let headers = response.headers_mut();
         headers.insert("laburnum-request", asked["laburnum-request"].clone());
         headers.insert("laburnum-outcome", HeaderValue::from_static("ran"));
         response
     });
-    let forwarder = Forwarder::start(vacate(&mut cluster).await, target);
+    let forwarder = Forwarder::start(take_over_port(&mut cluster).await, target);
     let caller = cluster.caller();
     let file = |key: &'static str| {
         let filing = request("POST", caller, "/filings").header("idempotency-key", key);
--- a/crates/node/tests/path.rs
+++ b/crates/node/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path over real sockets: a document submitted at one node carries requests through another.
+//! End-to-end test over real sockets: a document submitted at one node carries requests through another.
 
 use laburnum_standin::ports::free;
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -25,10 +25,10 @@
 const DRAFTING: &str = include_str!("../../../examples/nile/drafting-desk.toml");
 const REGISTRY: &str = include_str!("../../../examples/nile/court-registry.toml");
 
-/// Polls of [`until`] before it gives up: at least a minute.
+/// Maximum number of polls in [`until`]: at least a minute.
 const POLLS_MAX: usize = 12_000;
 
-/// Polls `ready` until it holds. A condition that never comes true fails the test instead of hanging it.
+/// Polls `ready` until it returns true. Panics instead of hanging if it never does.
 async fn until(mut ready: impl FnMut() -> bool) {
     for _ in 0..POLLS_MAX {
         if ready() {
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn document_submitted_at_one_node_carries_requests_through_another() {
+async fn submitted_document_routes_through_other_node() {
     let platform = Arc::new(Memory::default());
     let (owner, owner_config) = node(Vec::new(), platform.clone()).await;
     let (entry, entry_config) = node(vec![owner_config.control], platform).await;
@@ -85,7 +85,7 @@
     let answer = client.request(request).await.expect("an answer");
     assert_eq!(answer.status(), 204);
 
-    // The drafting desk routes to the registry, which so comes first.
+    // The drafting desk routes to the registry, which must exist first.
     for submission in [
         submission(1, "court-registry", REGISTRY),
         submission(2, "drafting-desk", DRAFTING),
@@ -98,7 +98,7 @@
         ));
     }
     let name = "drafting-desk".parse().expect("a name");
-    // A node answers for a service only once it caught up; the endpoint is known before it is ready.
+    // A node serves requests only after its catch-up; the endpoint is known before it is ready.
     for node in [&entry, &owner] {
         until(|| {
             let view = node.control().view();
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -11,13 +11,13 @@
     time::{Duration, Instant},
 };
 
-/// Requests that wait for one connection.
+/// Number of requests that wait for one connection.
 const WAITING: usize = 10;
-/// Time for which one attempt to connect may hang, and some.
+/// Upper bound for one connection attempt.
 const ONE_ATTEMPT: Duration = Duration::from_millis(800);
 
-/// A socket that takes no connection: its queue is full.
-fn deaf() -> (Socket, Vec<TcpStream>, SocketAddr) {
+/// Creates a socket that accepts no connection, because its queue is full.
+fn unresponsive_socket() -> (Socket, Vec<TcpStream>, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     socket.bind(&any.into()).expect("an address");
@@ -31,12 +31,11 @@
     (socket, queued, address)
 }
 
-/// A node loses power or is cut off: connections to it hang. Ten requests wait for the same one to open. Each tried
-/// anew in its turn, and the tenth was held for five seconds before it could go elsewhere. One attempt is enough for
-/// all that waited for it. Time is the runtime's own, which runs as soon as nobody has anything to do.
+/// Requests that wait for a connection to an unreachable node share one attempt instead of trying in turn. The
+/// paused clock of the runtime advances when all tasks are idle.
 #[tokio::test(start_paused = true)]
-async fn requests_that_wait_for_a_deaf_node_give_up_together() {
-    let (_socket, _queued, address) = deaf();
+async fn waiting_requests_share_a_failed_connect() {
+    let (_socket, _queued, address) = unresponsive_socket();
     let peers = std::sync::Arc::new(Peers::default());
     let start = Instant::now();
     let mut sending = JoinSet::new();
--- a/crates/node/tests/promises.rs
+++ b/crates/node/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Safeguards of the request path that no other test fails without.
+//! Safeguards of the request path that no other test covers.
 
 mod common;
 
@@ -19,10 +19,10 @@
 use laburnum_node::{Config, Node, traffic::proof::Proofs, upstream::Announcement};
 use tokio::net::TcpStream;
 
-/// A platform that is down.
-struct Down;
+/// A platform that does not answer.
+struct UnavailablePlatform;
 
-impl Platform for Down {
+impl Platform for UnavailablePlatform {
     fn table(&self, _: TableOp) -> Answer<'_, TableAnswer> {
         Box::pin(async { TableAnswer::Failed(Fault::Unavailable) })
     }
@@ -32,10 +32,10 @@
     }
 }
 
-// A node restarts while its peers and the table are out of reach. It holds nothing yet, so what it would say of
-// a service is older than what its callers have seen in force: it refuses them as not run.
+// A restarted node whose peers and table are unreachable may hold an outdated configuration, so it rejects
+// requests as "not run".
 #[tokio::test(flavor = "multi_thread")]
-async fn node_that_has_not_caught_up_refuses_unrun() {
+async fn node_before_catch_up_rejects_requests() {
     let config = Config {
         caller: common::free(),
         control: common::free(),
@@ -44,7 +44,12 @@
         peers: vec![common::free()],
         ..Config::default()
     };
-    let node = Node::start(config.clone(), Clock::system(), Arc::new(Down)).await;
+    let node = Node::start(
+        config.clone(),
+        Clock::system(),
+        Arc::new(UnavailablePlatform),
+    )
+    .await;
     let node = node.expect("the node starts");
     let got = send(request("GET", config.caller, "/drafts/1"), "").await;
     assert_eq!(got.field("laburnum-outcome"), "not-run");
@@ -52,21 +57,20 @@
     node.close().await;
 }
 
-// A request crashes the upstream that runs it; the entry sends it to another, which crashes too. Both come
-// back, and the caller sends it again: it is refused as not run, and other requests are served.
+// A request that crashed two upstreams is rejected as "not run" after they are back; other requests are served.
 #[tokio::test(flavor = "multi_thread")]
-async fn request_that_crashed_two_upstreams_is_refused_unrun() {
+async fn request_is_quarantined_after_two_crashes() {
     let crash = |_: &_| vec![Step::Crash];
     let (first, second) = (Fake::start(crash).await, Fake::start(crash).await);
     let cluster = cluster(&[&first, &second]).await;
     send(request("GET", cluster.caller(), "/drafts/bad"), "").await;
     for _ in 0..1_000 {
-        if held(&cluster).await > 0 {
+        if quarantine_count(&cluster).await > 0 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(held(&cluster).await, 1);
+    assert_eq!(quarantine_count(&cluster).await, 1);
     let third = Fake::start(|_| answer("draft")).await;
     for it in &cluster.nodes[1..] {
         let announced = it.node.upstream().announce(Announcement {
@@ -77,8 +81,8 @@
         });
         announced.expect("the node runs");
     }
-    until(|| serving(&cluster) == 2).await;
-    // The entry keeps off upstreams that just failed; it tries them again after some refusals.
+    until(|| ready_endpoints(&cluster) == 2).await;
+    // The entry avoids upstreams that just failed; it tries them again after some refusals.
     let mut outcome = String::new();
     for _ in 0..200 {
         let good = send(request("GET", cluster.caller(), "/drafts/good"), "").await;
@@ -97,8 +101,8 @@
     cluster.close().await;
 }
 
-/// Quarantines that the nodes beside upstreams hold, at the one that holds fewest.
-async fn held(cluster: &Cluster) -> usize {
+/// Returns the smallest number of quarantines that a node beside an upstream holds.
+async fn quarantine_count(cluster: &Cluster) -> usize {
     let mut least = usize::MAX;
     for it in &cluster.nodes[1..] {
         let reply = it.node.control().call(Call::Guard(guard::Call::List)).await;
@@ -110,8 +114,8 @@
     least
 }
 
-/// Endpoints that the entry takes for ready.
-fn serving(cluster: &Cluster) -> usize {
+/// Returns the number of endpoints that are ready in the entry's view.
+fn ready_endpoints(cluster: &Cluster) -> usize {
     let view = cluster.nodes[0].node.control().view();
     let name = "desk".parse().expect("a name");
     view.services.get(&name).map_or(0, |it| {
@@ -120,10 +124,9 @@
     })
 }
 
-// A node is told to stop while a filing runs that takes longer than its farewell to the other nodes. It stays
-// until the upstream has answered, and the caller gets the whole answer.
+// A node that stops waits for a running request even if it takes longer than the leave notice to other nodes.
 #[tokio::test(flavor = "multi_thread")]
-async fn run_that_outlasts_the_farewell_is_not_cut() {
+async fn run_longer_than_leave_notice_is_not_cut() {
     let fake = Fake::start(|_| {
         let mut steps = vec![Step::Hold];
         steps.extend(answer("filed"));
@@ -145,18 +148,18 @@
     cluster.close().await;
 }
 
-// While a change spreads an entry already knows that a route runs at most once and the owner does not yet. The
-// stricter of the two counts: sent twice under one key, the request runs once and is answered twice.
+// If entry and owner hold different documents, the stricter one applies: with the same key the request runs
+// once and is answered twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn stricter_document_decides_whether_a_request_may_repeat() {
+async fn stricter_document_decides_on_repetition() {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster(&[&fake]).await;
     let (entry, owner) = (&cluster.nodes[0].config, cluster.nodes[1].config.traffic);
     let proofs = Proofs::new(entry.traffic, &entry.keys, Clock::system());
     let stream = TcpStream::connect(owner).await;
     let stream = TokioIo::new(stream.expect("connects"));
-    let shaken = hyper::client::conn::http2::handshake(TokioExecutor::new(), stream).await;
-    let (mut sender, connection) = shaken.expect("speaks HTTP/2");
+    let handshake = hyper::client::conn::http2::handshake(TokioExecutor::new(), stream).await;
+    let (mut sender, connection) = handshake.expect("speaks HTTP/2");
     let connection = tokio::spawn(connection);
     for _ in 0..2 {
         let asked = Request::put("http://desk/drafts/1")
--- a/crates/node/tests/services.rs
+++ b/crates/node/tests/services.rs
@@ -1,4 +1,4 @@
-//! What entries know of each service, asked by several threads at once.
+//! Concurrent updates of an entry's per-service state.
 
 use std::{
     collections::BTreeMap,
@@ -17,7 +17,7 @@
 use laburnum_node::traffic::services::Services;
 
 const DOCUMENT: &str = include_str!("../../../examples/nile/court-registry.toml");
-/// Rounds in which the threads meet; with view and number apart, some of them lost the race.
+/// Number of rounds; a race is only likely to show in some of them.
 const ROUNDS: usize = 3_000;
 const THREADS: usize = 4;
 
@@ -49,10 +49,10 @@
     })
 }
 
-/// Two requests are the first to see a new view, in two threads. One takes it over; the other saw the new view with the
-/// old number, took its service for up to date, and was refused for want of an endpoint that the view held.
+/// Several threads see a new view at once. None may treat its service as up to date before the update and find
+/// no endpoint.
 #[test]
-fn threads_that_meet_a_new_view_together_all_follow_it() {
+fn concurrent_requests_all_follow_a_new_view() {
     let place = Place {
         region: name("cairo"),
         zone: name("nasr"),
--- a/crates/node/tests/strangers.rs
+++ b/crates/node/tests/strangers.rs
@@ -1,4 +1,4 @@
-//! What strangers meet at each socket of a node that is not for them.
+//! Unauthenticated peers at the sockets for nodes, the link and operators.
 
 mod common;
 
@@ -48,14 +48,17 @@
     config.admin_keys = vec![token(OLD), token(NEW)];
 }
 
-/// A caller is still served, by the owner over the port for nodes.
-async fn served(cluster: &Cluster) {
+/// Checks that callers are still served by the owner.
+async fn assert_served(cluster: &Cluster) {
     let got = send(request("GET", cluster.caller(), "/drafts/1"), "").await;
     assert_eq!(got.head.status, 200, "{got:?}");
     assert_eq!(got.field("laburnum-outcome"), "ran");
 }
 
-async fn stranger(address: SocketAddr, proof: Option<&str>) -> Response<hyper::body::Incoming> {
+async fn send_unproven(
+    address: SocketAddr,
+    proof: Option<&str>,
+) -> Response<hyper::body::Incoming> {
     let mut request = Request::builder()
         .method("POST")
         .uri(format!("http://{address}/filings"))
@@ -74,32 +77,30 @@
     client.request(request).await.expect("an answer")
 }
 
-// A stranger reaches the port for nodes and sends what an entry would. Without a valid proof nothing of it
-// gets to the upstream, the refusal says "not run" and is counted, and callers are served as before.
+// Requests on the port for nodes without a valid proof are rejected and counted and never reach the upstream.
 #[test_case(None, "node-no-proof" ; "no proof")]
-#[test_case(Some("let me in"), "node-no-proof" ; "a proof that does not read")]
-#[test_case(Some("0.0000000000000000000000000000000000000000000000000000000000000000"), "node-proof-time" ; "a proof of long ago")]
+#[test_case(Some("let me in"), "node-no-proof" ; "a malformed proof")]
+#[test_case(Some("0.0000000000000000000000000000000000000000000000000000000000000000"), "node-proof-time" ; "an expired proof")]
 #[tokio::test(flavor = "multi_thread")]
-async fn stranger_at_the_port_for_nodes(proof: Option<&'static str>, kind: &'static str) {
+async fn request_without_proof_is_rejected(proof: Option<&'static str>, kind: &'static str) {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster_with(&[&fake], keyed).await;
     let owner = &cluster.nodes[1];
-    let got = stranger(owner.config.traffic, proof).await;
+    let got = send_unproven(owner.config.traffic, proof).await;
     assert_eq!(got.status(), 401);
     assert_eq!(got.headers()["laburnum-outcome"], "not-run");
     assert_eq!(got.headers()["laburnum-reason"], "unproven");
     assert_eq!(owner.node.faults().total(kind), 1);
     assert!(fake.seen().is_empty());
-    served(&cluster).await;
+    assert_served(&cluster).await;
     let seen = fake.seen();
     assert!(seen.iter().all(|it| !it.head.contains("laburnum-proof")));
     cluster.close().await;
 }
 
-// A stranger takes every place at the port for nodes, each with a request that is refused, and never closes.
-// The places are given back, so that the entry still reaches the owner.
+// Connections with only rejected requests are closed by the node, so that they cannot occupy all places.
 #[tokio::test(flavor = "multi_thread")]
-async fn refused_connections_give_their_places_back() {
+async fn rejected_connections_are_closed() {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster_with(&[&fake], |it| {
         keyed(it);
@@ -122,20 +123,22 @@
         let _ = ended.expect("the node ends the connection");
         kept.push(sender);
     }
-    served(&cluster).await;
+    assert_served(&cluster).await;
     cluster.close().await;
 }
 
-// A guessed tag in the present step, and what is no HTTP/2 at all.
+// A guessed tag with the present time step, and data that is not HTTP/2, are rejected and counted.
 #[tokio::test(flavor = "multi_thread")]
-async fn guessed_tag_and_noise_at_the_port_for_nodes() {
+async fn guessed_tag_and_invalid_data_are_counted() {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster_with(&[&fake], keyed).await;
     let owner = &cluster.nodes[1];
     let step = Clock::system().now().0 / STEP_MS;
     let proof = format!("{step}.{}", "ab".repeat(32));
     assert_eq!(
-        stranger(owner.config.traffic, Some(&proof)).await.status(),
+        send_unproven(owner.config.traffic, Some(&proof))
+            .await
+            .status(),
         401
     );
     assert_eq!(owner.node.faults().total("node-proof-tag"), 1);
@@ -148,15 +151,14 @@
     let counted = timeout(Duration::from_secs(30), counted).await;
     counted.expect("the broken connection is counted");
     assert!(fake.seen().is_empty());
-    served(&cluster).await;
+    assert_served(&cluster).await;
     cluster.close().await;
 }
 
-// Noise at the link's ports, over UDP and TCP, and frames of a node with another key. The datagrams and the
-// frames are counted; bytes that are no frame end with their connection, inside libzmq. Callers and the fleet
-// notice nothing.
+// Invalid datagrams and frames of a node with another key are counted at the link and do not affect the fleet.
+// Invalid TCP data is handled inside libzmq.
 #[tokio::test(flavor = "multi_thread")]
-async fn strangers_at_the_link_are_counted_and_disturb_nobody() {
+async fn invalid_link_traffic_is_counted() {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster_with(&[&fake], keyed).await;
     let owner = &cluster.nodes[1];
@@ -166,9 +168,9 @@
     for len in datagrams {
         udp.send_to(&vec![0xff; len], control).await.expect("sent");
     }
-    for noise in [&[0xff; 64][..], b"GET / HTTP/1.1\r\n\r\n", &[]] {
+    for data in [&[0xff; 64][..], b"GET / HTTP/1.1\r\n\r\n", &[]] {
         let mut stream = TcpStream::connect(control).await.expect("a connection");
-        stream.write_all(noise).await.expect("written");
+        stream.write_all(data).await.expect("written");
     }
     let own = NodeId(common::free());
     let (mut other, _waker) =
@@ -182,16 +184,15 @@
     let counted = common::until(|| owner.node.control().stats().traffic.strange >= wanted);
     let counted = timeout(Duration::from_secs(30), counted).await;
     counted.expect("every stranger is counted");
-    served(&cluster).await;
+    assert_served(&cluster).await;
     assert_eq!(owner.node.control().stats().traffic.strange, wanted);
     other.close();
     cluster.close().await;
 }
 
-// Two nodes have different link keys: the entry does not get through to the owner, and the caller is told
-// that nothing was run, not that it lacks a password.
+// If the link keys of two nodes differ, the caller gets "not run" rather than a 401.
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_learns_not_run_when_nodes_differ_in_keys() {
+async fn different_link_keys_lead_to_not_run() {
     let fake = Fake::start(|_| answer("draft")).await;
     let mut cluster = cluster_with(&[&fake], keyed).await;
     let owner = cluster.nodes.remove(1);
@@ -203,7 +204,7 @@
             Err(_) => tokio::task::yield_now().await,
         }
     };
-    // An owner with another key, seen from outside.
+    // Stands in for an owner with another key.
     let other = Proofs::new(address, &Keys::new(key(8)), Clock::system());
     let other = std::sync::Arc::new(other);
     let server = tokio::spawn(async move {
@@ -243,12 +244,12 @@
     request
 }
 
-/// Rotation: the new key is first accepted everywhere, then proves, then the old one goes.
+/// Key rotation: the new key is first accepted everywhere, then used, then the old one is removed.
 #[test_case(Keys::new(key(1)), Keys::new(key(1)), Ok(()) ; "one key")]
 #[test_case(Keys::new(key(1)), Keys::new(key(1)).accepting(key(2)), Ok(()) ; "receiver also takes the new key")]
 #[test_case(Keys::new(key(2)).accepting(key(1)), Keys::new(key(1)).accepting(key(2)), Ok(()) ; "sender proves with the new key")]
 #[test_case(Keys::new(key(1)).accepting(key(2)), Keys::new(key(2)), Err(Unproven::Tag) ; "old key after it was dropped")]
-fn proof_by_keys(sender: Keys, receiver: Keys, wanted: Result<(), Unproven>) {
+fn proof_follows_key_rotation(sender: Keys, receiver: Keys, wanted: Result<(), Unproven>) {
     let (clock, to) = (Clock::manual(Ms(9 * STEP_MS)), address("127.0.0.1:7102"));
     let sender = Proofs::new(address("127.0.0.2:7102"), &sender, clock.clone());
     let receiver = Proofs::new(to, &receiver, clock);
@@ -257,8 +258,8 @@
 
 #[test_case(0, Ok(()) ; "same step")]
 #[test_case(STEP_MS, Ok(()) ; "one step later")]
-#[test_case(2 * STEP_MS, Err(Unproven::Time) ; "two steps later, as a recording")]
-fn proof_by_time(later: u64, wanted: Result<(), Unproven>) {
+#[test_case(2 * STEP_MS, Err(Unproven::Time) ; "two steps later, as a replay")]
+fn proof_expires(later: u64, wanted: Result<(), Unproven>) {
     let (clock, to) = (Clock::manual(Ms(9 * STEP_MS)), address("127.0.0.1:7102"));
     let proofs = Proofs::new(to, &Keys::new(key(1)), clock.clone());
     let request = proven(&proofs, to);
@@ -266,7 +267,7 @@
     assert_eq!(proofs.check(&request), wanted);
 }
 
-/// What an attacker on the way would change; the proof fits the request as it was sent and no other.
+/// A proof is only valid for the request as it was sent.
 #[test_case(|it| *it.method_mut() = http::Method::DELETE ; "method")]
 #[test_case(|it| *it.uri_mut() = "http://desk/drafts/2?page=2".parse().expect("a URI") ; "path")]
 #[test_case(|it| *it.uri_mut() = "http://desk/drafts/1?page=3".parse().expect("a URI") ; "query")]
@@ -275,7 +276,7 @@
 #[test_case(|it| set(it, "laburnum-repeat", "never") ; "repeat")]
 #[test_case(|it| set(it, "laburnum-deadline", "9") ; "deadline")]
 #[test_case(|it| set(it, "idempotency-key", "k2") ; "idempotency key")]
-fn changed_request_is_refused(change: fn(&mut Request<()>)) {
+fn changed_request_is_rejected(change: fn(&mut Request<()>)) {
     let (clock, to) = (Clock::manual(Ms(9 * STEP_MS)), address("127.0.0.1:7102"));
     let proofs = Proofs::new(to, &Keys::new(key(1)), clock);
     let mut request = proven(&proofs, to);
@@ -285,7 +286,7 @@
 }
 
 #[test]
-fn proof_for_one_node_is_worth_nothing_at_another() {
+fn proof_is_only_valid_for_its_receiver() {
     let clock = Clock::manual(Ms(9 * STEP_MS));
     let proofs = Proofs::new(address("127.0.0.1:7102"), &Keys::new(key(1)), clock);
     let request = proven(&proofs, address("127.0.0.1:7999"));
@@ -303,8 +304,8 @@
 
 const FORBIDDEN: u16 = 401;
 
-// Operators' requests with and without a token in force, over the real socket. The body of a refused one is
-// not read: the refusal comes before any fault of the body.
+// Requests to the admin address with and without a valid token. Unauthorized ones are rejected before their
+// body is read.
 #[test_case("GET", "/v1/status", None, FORBIDDEN ; "read without token")]
 #[test_case("POST", "/v1/submissions", None, FORBIDDEN ; "change without token")]
 #[test_case("GET", "/v1/absent", None, FORBIDDEN ; "no such path")]
@@ -317,7 +318,7 @@
 #[test_case("GET", "/readyz", None, 200 ; "readiness is open")]
 #[test_case("DELETE", "/v1/upstream", None, 204 ; "upstream on loopback")]
 #[tokio::test(flavor = "multi_thread")]
-async fn operators(
+async fn admin_requests_need_a_token(
     method: &'static str,
     path: &'static str,
     given: Option<&'static str>,
@@ -337,7 +338,7 @@
     assert_eq!(got.status(), status);
     let refused = u64::from(status == FORBIDDEN);
     assert_eq!(entry.node.faults().total("admin-unauthorized"), refused);
-    served(&cluster).await;
+    assert_served(&cluster).await;
     cluster.close().await;
 }
 
@@ -346,7 +347,7 @@
 #[test_case("127.0.0.1:50000", "/v1/upstream", Ok(()) ; "upstream on loopback")]
 #[test_case("127.0.0.1:50000", "/v1/status", Err(Unauthorized) ; "operator on loopback")]
 #[test_case("10.0.0.9:50000", "/metrics", Ok(()) ; "collector of metrics")]
-fn peers_of_the_admin_address(peer: &str, path: &str, wanted: Result<(), Unauthorized>) {
+fn admin_access_depends_on_peer(peer: &str, path: &str, wanted: Result<(), Unauthorized>) {
     let mut config = Config {
         admin: address("10.0.0.1:7103"),
         ..Config::default()
@@ -365,7 +366,7 @@
 #[test_case(|it| { it.control = address(OPEN); it.keys = Keys::new(key(1)).accepting(Key::PUBLIC) }, &[Exposed::Link(address(OPEN))] ; "public key as the further one")]
 #[test_case(|it| { keyed(it); it.control = address(OPEN) }, &[] ; "link with a key")]
 #[test_case(|it| { keyed(it); it.admin_keys.push(token(OLD)) }, &[Exposed::Tokens(3)] ; "three tokens")]
-fn exposed_settings_are_refused(change: fn(&mut Config), wanted: &[Exposed]) {
+fn exposed_settings_are_rejected(change: fn(&mut Config), wanted: &[Exposed]) {
     let mut config = Config::default();
     change(&mut config);
     let faults = auth::check(&config).err().unwrap_or_default();
@@ -373,7 +374,7 @@
 }
 
 #[tokio::test]
-async fn node_does_not_start_exposed() {
+async fn node_with_exposed_socket_does_not_start() {
     let config = Config {
         admin: address(OPEN),
         ..Config::default()
--- a/crates/node/tests/upstream_faults.rs
+++ b/crates/node/tests/upstream_faults.rs
@@ -1,4 +1,4 @@
-//! What callers see when an upstream fails.
+//! Answers to callers when an upstream fails.
 
 mod common;
 
@@ -18,18 +18,17 @@
     Step::Write(text.as_bytes().to_vec())
 }
 
-// The upstream fails in the middle of a signature: after it read the request, or in the middle of its answer.
-// The caller must see an error that says "unknown", never a short body that looks whole, and the request must
-// not be run again, neither here nor at the second upstream, for it may have taken effect.
+// An upstream fails after it received a request that runs at most once. The outcome must be "unknown", and the
+// request must not be sent to any upstream again.
 #[test_case(&[Step::Close] ; "closes without an answer")]
 #[test_case(&[bytes("HTTP/1.1 200 OK\r\ncontent-len"), Step::Close] ; "closes within the header")]
 #[test_case(&[bytes("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nsign"), Step::Close] ; "closes within the body")]
 #[test_case(&[bytes("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nsign\r\n"), Step::Close] ; "closes between two chunks")]
 #[test_case(&[bytes("HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nsigned"), Step::Close] ; "gives an answer without a length")]
-#[test_case(&[bytes("not HTTP at all\r\n\r\n"), Step::Close] ; "speaks something else")]
+#[test_case(&[bytes("not HTTP at all\r\n\r\n"), Step::Close] ; "sends something other than HTTP")]
 #[test_case(&[Step::Crash] ; "crashes")]
 #[tokio::test(flavor = "multi_thread")]
-async fn signature_of_unknown_outcome_is_never_run_again(steps: &[Step]) {
+async fn unknown_outcome_is_not_run_again(steps: &[Step]) {
     let steps = steps.to_vec();
     let script = move |_: &_| steps.clone();
     let (first, second) = (Fake::start(script.clone()).await, Fake::start(script).await);
@@ -44,13 +43,12 @@
     cluster.close().await;
 }
 
-// A read loses its answer. It is idempotent, so the entry asks the other upstream, and the caller sees one
-// whole answer and nothing of the failure.
+// An idempotent request whose answer is lost is retried at another upstream; the caller sees one whole answer.
 #[test_case(&[Step::Close] ; "closes without an answer")]
 #[test_case(&[bytes("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nshort"), Step::Close] ; "closes within the body")]
-#[test_case(&[bytes("HTTP/1.1 503 busy\r\nlaburnum-outcome: not-run\r\ncontent-length: 0\r\n\r\n")] ; "sheds it unrun")]
+#[test_case(&[bytes("HTTP/1.1 503 busy\r\nlaburnum-outcome: not-run\r\ncontent-length: 0\r\n\r\n")] ; "sheds it without running it")]
 #[tokio::test(flavor = "multi_thread")]
-async fn read_that_fails_is_answered_by_another_upstream(steps: &[Step]) {
+async fn failed_read_is_retried_at_another_upstream(steps: &[Step]) {
     let steps = steps.to_vec();
     let bad = Fake::start(move |_| steps.clone()).await;
     let good = Fake::start(|_| answer("draft")).await;
@@ -70,11 +68,9 @@
     cluster.close().await;
 }
 
-// The first upstream reads the request and closes: it may have run. The entry asks the other upstream, which
-// refuses it unrun, as it does from then on. "Not run" is true of the second attempt alone; a caller that was
-// told so would count on the request having had no effect, so it must hear "unknown".
+// If an earlier attempt may have run, a later refusal must not turn the outcome into "not run".
 #[tokio::test(flavor = "multi_thread")]
-async fn refusal_after_a_lost_attempt_is_unknown() {
+async fn refusal_after_lost_attempt_is_unknown() {
     let count = Arc::new(AtomicUsize::new(0));
     let script = move |_: &_| match count.fetch_add(1, Ordering::SeqCst) {
         0 => vec![Step::Close],
@@ -91,14 +87,12 @@
     cluster.close().await;
 }
 
-// The answer is too long to hold, and is on its way to the caller when the upstream closes in the middle of
-// it. The connection to the caller is cut, and must not end like a whole answer. A cut that overtakes the header
-// on its way out is as good: the caller sees no answer, or, if the entry saw none either, an error that says
-// "unknown".
+// A long answer that breaks while it is streamed must not look complete to the caller. If the header is lost
+// too, the caller gets no answer or "unknown".
 #[test_case("content-length: 150000\r\n\r\n", "" ; "with a length")]
 #[test_case("transfer-encoding: chunked\r\n\r\n", "186a0\r\n" ; "in chunks")]
 #[tokio::test(flavor = "multi_thread")]
-async fn long_answer_that_is_cut_never_looks_whole(framing: &str, chunk: &str) {
+async fn truncated_long_answer_never_looks_complete(framing: &str, chunk: &str) {
     let mut text = format!("HTTP/1.1 200 OK\r\n{framing}{chunk}").into_bytes();
     text.extend(std::iter::repeat_n(b'x', 100_000));
     let steps = vec![Step::Write(text), Step::Close];
@@ -114,7 +108,7 @@
     cluster.close().await;
 }
 
-// A long answer arrives whole, by length and by chunks, through two nodes with back-pressure on each hop.
+// Long answers arrive whole through two nodes with back-pressure on each hop.
 #[test_case("content-length: 150000\r\n\r\n", "", "" ; "with a length")]
 #[test_case("transfer-encoding: chunked\r\n\r\n", "249f0\r\n", "\r\n0\r\n\r\n" ; "in chunks")]
 #[tokio::test(flavor = "multi_thread")]
@@ -129,10 +123,9 @@
     cluster.close().await;
 }
 
-// The upstream process is gone, and its node does not know yet. Nothing was sent to it, so the refusal says
-// not run, even for a filing, and the same key runs once the upstream is back.
+// Requests for an upstream that has crashed are "not run", because nothing was sent to it.
 #[tokio::test(flavor = "multi_thread")]
-async fn request_to_a_dead_upstream_was_not_run() {
+async fn request_to_dead_upstream_is_not_run() {
     let fake = Fake::start(|_| vec![Step::Crash]).await;
     let cluster = cluster(&[&fake]).await;
     send(request("GET", cluster.caller(), "/slow/7"), "").await;
@@ -145,11 +138,10 @@
     cluster.close().await;
 }
 
-// The connection that the pool holds goes silent: bytes vanish, no error arrives. The second read gets no
-// answer on it, while the upstream answers questions for its health on new connections. The node opens anew
-// and reads again, within the deadline, and the caller sees one whole answer.
+// A pooled connection that died silently is replaced, and the idempotent request on it is sent again within its
+// deadline.
 #[tokio::test(flavor = "multi_thread")]
-async fn read_on_a_silent_connection_is_sent_again_on_a_new_one() {
+async fn silent_connection_is_replaced_for_a_read() {
     let silent = Arc::new(AtomicUsize::new(usize::MAX));
     let first = silent.clone();
     let fake = Fake::start(move |seen| {
@@ -175,11 +167,10 @@
     cluster.close().await;
 }
 
-// The upstream never answers. The caller gets "unknown" at the route's deadline, and the upstream sees its
-// connection close: the work is cancelled. The deadline leaves time to reach the upstream on a busy machine: one
-// that passes before is answered with "not run", and rightly so.
+// A request that the upstream does not answer is cancelled there at the deadline. The deadline leaves time to
+// reach the upstream on a busy machine.
 #[tokio::test(flavor = "multi_thread")]
-async fn upstream_that_never_answers_is_cancelled_at_the_deadline() {
+async fn unanswered_request_is_cancelled_at_deadline() {
     let fake = Fake::start(|_| vec![Step::Wait]).await;
     let document = DOCUMENT.replace("300ms", "3s");
     let cluster = cluster_of(&[&fake], |_| (), &document).await;
@@ -190,9 +181,9 @@
     cluster.close().await;
 }
 
-// A caller hangs up while its read runs. Nobody waits for the answer, so the upstream's connection closes.
+// A caller that disconnects cancels its idempotent request at the upstream.
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_that_leaves_cancels_its_read() {
+async fn caller_disconnect_cancels_its_read() {
     let fake = Fake::start(|_| vec![Step::Wait]).await;
     let cluster = cluster(&[&fake]).await;
     let reading = spawn(send(request("GET", cluster.caller(), "/drafts/1"), ""));
@@ -202,10 +193,10 @@
     cluster.close().await;
 }
 
-// A caller hangs up while its filing runs, and asks again with the same key through another node. The run was
-// not cut: its answer was kept and is sent again, and the upstream saw one run.
+// A request that runs at most once is completed when its caller disconnects, and its stored answer is returned
+// to a retry through another node.
 #[tokio::test(flavor = "multi_thread")]
-async fn filing_whose_caller_left_is_finished_and_replayed_by_another_node() {
+async fn abandoned_filing_is_replayed_by_another_node() {
     let fake = Fake::start(|_| {
         let mut steps = vec![Step::Hold];
         steps.extend(answer("filed"));
@@ -220,17 +211,19 @@
     let _ = leaving.await;
     fake.release();
     let other = cluster.nodes[1].config.caller;
-    let got = replayed(|| send(filing(other), "filing")).await;
+    let got = retry_while_in_progress(|| send(filing(other), "filing")).await;
     assert_eq!(got.body.as_deref(), Some(&b"filed"[..]));
     assert_eq!(got.field("laburnum-outcome"), "ran");
     assert_eq!(fake.seen().len(), 1);
     cluster.close().await;
 }
 
-/// Asks until the answer is not "another one is in progress".
-async fn replayed<F: Future<Output = common::Got>>(ask: impl Fn() -> F) -> common::Got {
+/// Repeats a request until its reason is not "in-progress".
+async fn retry_while_in_progress<F: Future<Output = common::Got>>(
+    send: impl Fn() -> F,
+) -> common::Got {
     for _ in 0..ATTEMPTS_MAX {
-        let got = ask().await;
+        let got = send().await;
         if got.field("laburnum-reason") != "in-progress" {
             return got;
         }
@@ -238,10 +231,9 @@
     panic!("still in progress after {ATTEMPTS_MAX} attempts");
 }
 
-// Two upstreams; the first drains by its own word. Every filing in the meantime is answered by the second, and
-// none is refused: "not run" leaves even a filing free to go elsewhere.
+// A request that runs at most once is retried elsewhere when the upstream rejects it as "not run".
 #[tokio::test(flavor = "multi_thread")]
-async fn filing_refused_unrun_goes_to_another_upstream() {
+async fn refused_filing_goes_to_another_upstream() {
     let first = Fake::start(|_| {
         vec![bytes(
             "HTTP/1.1 503 draining\r\nlaburnum-outcome: not-run\r\ncontent-length: 0\r\n\r\n",
@@ -266,11 +258,10 @@
     cluster.close().await;
 }
 
-// A filing crashes the upstream that runs it. Its caller sends it again under a new key, as after any unknown
-// outcome, and the second upstream crashes. From then on every node refuses it, unrun, under any key: the third
-// upstream never sees it and goes on to serve the others.
+// A request that crashed two upstreams is quarantined on every node, under any idempotency key; other requests
+// are still served.
 #[tokio::test(flavor = "multi_thread")]
-async fn filing_that_crashed_two_upstreams_never_reaches_a_third() {
+async fn filing_is_quarantined_after_two_crashes() {
     let script = |seen: &common::Seen| match seen.body == b"poison" {
         true => vec![Step::Crash],
         false => answer("filed"),
@@ -305,7 +296,7 @@
     assert_eq!(refused.field("laburnum-outcome"), "not-run");
     assert_eq!(refused.field("laburnum-reason"), "quarantined");
     assert_eq!(crashes(), 2);
-    // The retries of one filing may all meet crashed upstreams that its entry has not heard of yet.
+    // An entry may not know yet that the first two upstreams crashed.
     let mut last = None;
     for number in 0..ATTEMPTS_MAX {
         let got = file(format!("other{number}"), "filing").await;
@@ -326,10 +317,10 @@
     cluster.close().await;
 }
 
-// The upstream reports over HTTP that it takes no work for now. The announcement said "ready", so only the poll can
-// tell: entries hear of it and refuse, unrun. Once it reports "ready" again it is served again.
+// Health checks override the announced phase: an upstream that reports warming gets no requests until it
+// reports ready.
 #[tokio::test(flavor = "multi_thread")]
-async fn upstream_that_reports_warming_is_left_alone_until_it_is_ready() {
+async fn warming_upstream_gets_no_requests_until_ready() {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster(&[&fake]).await;
     fake.report("warming");
@@ -344,10 +335,9 @@
     cluster.close().await;
 }
 
-// The upstream reports over HTTP that it drains. Entries hear of it and refuse, unrun. A drain is not taken back:
-// that takes a new announcement.
+// An upstream that reports draining gets no requests until a new announcement.
 #[tokio::test(flavor = "multi_thread")]
-async fn upstream_that_reports_draining_gets_no_more_requests() {
+async fn draining_upstream_gets_no_requests() {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster(&[&fake]).await;
     fake.report("draining");
@@ -358,10 +348,10 @@
     cluster.close().await;
 }
 
-// Every connection to the upstream is in use until a request's deadline. Nothing of it was sent, so it is refused
-// as not run. It asks the upstream's own node, where no second timer can end the wait first.
+// A request that gets no connection by its deadline is "not run". It uses the upstream's own node, so that no
+// second timer ends the wait first.
 #[tokio::test(flavor = "multi_thread")]
-async fn request_without_a_connection_by_its_deadline_was_not_run() {
+async fn request_without_connection_is_not_run() {
     let fake = Fake::start(held).await;
     let cluster = cluster_with(&[&fake], |it| it.pool.connections = 1).await;
     let holder = spawn(send(request("GET", cluster.caller(), "/drafts/1"), ""));
@@ -376,10 +366,9 @@
     cluster.close().await;
 }
 
-// The only connection to the upstream is in use, and comes free before the waiting request's deadline. The request
-// goes out on it.
+// A request that waits for a connection takes the one that is returned to the pool.
 #[tokio::test(flavor = "multi_thread")]
-async fn request_takes_the_connection_that_comes_free() {
+async fn waiting_request_takes_returned_connection() {
     let fake = Fake::start(held).await;
     let cluster = cluster_with(&[&fake], |it| it.pool.connections = 1).await;
     let ask = || spawn(send(request("GET", cluster.caller(), "/drafts/1"), ""));
