--- a/crates/kernel/src/accept.rs
+++ b/crates/kernel/src/accept.rs
@@ -244,7 +244,7 @@
 
 /// Answers [`Call::Outcome`] from this node's state or, if that is not enough, from the table's log.
 fn query_outcome(cx: &mut Context<'_>, state: &mut State, origin: Origin, id: SubmitId) {
-    if let Some(seq) = state.log.accepted(id) {
+    if let Some(seq) = state.log.accepted_at(id) {
         return origin.answer(cx, id, accepted(seq));
     }
     if state.accept.queue.add_origin(id, origin) || state.accept.forwards.add_origin(id, origin) {
@@ -267,7 +267,7 @@
     for (id, origin) in std::mem::take(&mut state.accept.outcome_queries) {
         let verdict = state
             .log
-            .accepted(id)
+            .accepted_at(id)
             .map_or(Verdict::Absent { id }, accepted);
         origin.answer(cx, id, verdict);
     }
--- a/crates/kernel/src/accept/commit.rs
+++ b/crates/kernel/src/accept/commit.rs
@@ -441,9 +441,9 @@
     let State { accept, log, .. } = state;
     for it in accept
         .queue
-        .remove_where(|it| log.accepted(it.id()).is_some())
+        .remove_where(|it| log.accepted_at(it.id()).is_some())
     {
-        let Some(seq) = log.accepted(it.id()) else {
+        let Some(seq) = log.accepted_at(it.id()) else {
             continue;
         };
         if matches!(it.prior_write, PriorWrite::At(_)) {
--- a/crates/kernel/src/accept/decide.rs
+++ b/crates/kernel/src/accept/decide.rs
@@ -317,7 +317,7 @@
 
 /// Decides on a submission whose verdict does not depend on other submissions, if possible.
 fn check_base(log: &Log, submission: &Submission) -> Option<Decision> {
-    if let Some(seq) = log.accepted(submission.id) {
+    if let Some(seq) = log.accepted_at(submission.id) {
         return Some(Decision::Final(accepted(seq)));
     }
     let latest = log.latest().get(&submission.service);
--- a/crates/kernel/src/accept/forward.rs
+++ b/crates/kernel/src/accept/forward.rs
@@ -135,7 +135,7 @@
     submission: &Submission,
 ) -> Option<Checked> {
     let id = submission.id;
-    if let Some(seq) = state.log.accepted(id) {
+    if let Some(seq) = state.log.accepted_at(id) {
         origin.answer(cx, id, accepted(seq));
         return None;
     }
--- a/crates/kernel/src/log.rs
+++ b/crates/kernel/src/log.rs
@@ -158,7 +158,7 @@
     }
 
     /// Returns the position at which submission `id` was accepted, among the last [`IDS_MAX`] submissions.
-    pub fn accepted(&self, id: SubmitId) -> Option<Seq> {
+    pub fn accepted_at(&self, id: SubmitId) -> Option<Seq> {
         self.accepted.get(&id).copied()
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Returns the batches after `seq`, in order, or `None` if not all of them are retained.
-    pub fn after(&self, seq: Seq) -> Option<Vec<Arc<Batch>>> {
+    pub fn batches_after(&self, seq: Seq) -> Option<Vec<Arc<Batch>>> {
         let first = self.tail.front().map_or(self.seq.0 + 1, |it| it.seq.0);
         if seq.0.saturating_add(1) < first {
             return None;
--- a/crates/kernel/tests/log.rs
+++ b/crates/kernel/tests/log.rs
@@ -159,12 +159,12 @@
     let mut other = Log::default();
     assert_eq!(other.install(&snapshot), Applied::Yes);
     assert_eq!(other.digest(), log.digest());
-    assert_eq!(other.accepted(SubmitId(3)), Some(Seq(2)));
+    assert_eq!(other.accepted_at(SubmitId(3)), Some(Seq(2)));
     assert_eq!(other.install(&old), Applied::Old);
     assert_eq!(other.seq(), Seq(2));
     // This log never had the earlier version, so neither the refused one nor its user is in force.
     assert_eq!(in_force(&other), "");
-    assert_eq!(other.after(Seq(1)), None);
+    assert_eq!(other.batches_after(Seq(1)), None);
 }
 
 // Guards against an older or incomplete configuration after updates that arrive twice, too early or too late.
@@ -237,8 +237,8 @@
     for seq in 1..=IDS_MAX as u64 + 5 {
         log.apply(batch(seq, &[put(u128::from(seq), "a", seq - 1, &[])]));
     }
-    assert_eq!(log.accepted(SubmitId(5)), None);
-    assert_eq!(log.accepted(SubmitId(6)), Some(Seq(6)));
+    assert_eq!(log.accepted_at(SubmitId(5)), None);
+    assert_eq!(log.accepted_at(SubmitId(6)), Some(Seq(6)));
 }
 
 // Guards against a starting node that cannot recover without peers if the snapshot is missing or damaged or the store
