--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -318,8 +318,8 @@
     fn step(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.kernel.step(self.clock.now(), event, &mut actions);
-        // Views are published before replies are sent: whoever gets a reply may read the view at once and must
-        // see the state that the reply refers to. The sort is stable.
+        // Views are published before replies are sent: the recipient of a reply may read the view at once and
+        // must see the state that the reply refers to. The sort is stable.
         actions.sort_by_key(|it| !matches!(it, Action::Publish(_)));
         for action in actions {
             self.execute(action);
--- a/crates/node/src/traffic/gate.rs
+++ b/crates/node/src/traffic/gate.rs
@@ -46,7 +46,7 @@
     Ranks(Ranks),
 }
 
-/// Request for a slot. [`Policy::Shares`] uses the class and the deadline, [`Policy::Ranks`] the order.
+/// Request for a slot. Submitted documents use the class and the deadline, an imported configuration the order.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotRequest {
     /// Traffic class.
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Checks whether a request with `order` would be admitted now; always `Ok` under [`Policy::Shares`].
+    /// Checks whether a request with `order` would be admitted now. Always `Ok` with submitted documents.
     pub fn check(&self, order: Order) -> Result<(), Refusal> {
         match &mut self.lock().policy {
             Policy::Shares(_) => Ok(()),
--- a/crates/node/src/traffic/lines.rs
+++ b/crates/node/src/traffic/lines.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct State {
     connections: Connections,
-    /// Signals by which a connection is told to close.
+    /// Signals that make a connection close.
     close_signals: HashMap<Key, Arc<Notify>>,
     /// Number of idle connections closed in favour of new ones.
     replaced: u64,
@@ -45,7 +45,7 @@
 }
 
 /// A request in progress on a connection. Dropped when the head of its answer is ready or the request is
-/// abandoned; a connection that is told to close still sends the rest of the answer.
+/// abandoned; a connection that is closing still sends the rest of the answer.
 #[derive(Debug)]
 pub struct ActiveRequest {
     table: OpenConnections,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Waits until the connection is told to close in favour of a new one.
+    /// Waits until the connection is to be closed in favour of a new one.
     pub async fn closing(&self) {
         self.close_signal.notified().await;
     }
--- a/crates/node/src/traffic/once.rs
+++ b/crates/node/src/traffic/once.rs
@@ -54,7 +54,7 @@
     /// Runs `job` at most once. The run continues if its caller disconnects, so that its answer is stored.
     pub(super) async fn run_once(&self, job: Job) -> Result<Response<Body>, Denial> {
         let key = Key {
-            service: job.active.service.clone(),
+            service: job.upstream.service.clone(),
             text: key_of(&job.headers)?.to_owned(),
         };
         let deadline = self.instant(job.deadline);
--- a/crates/node/src/traffic/owner.rs
+++ b/crates/node/src/traffic/owner.rs
@@ -82,7 +82,7 @@
 
 /// A request that is ready to be sent to the upstream.
 pub(super) struct Job {
-    pub(super) active: Arc<ActiveUpstream>,
+    pub(super) upstream: Arc<ActiveUpstream>,
     pub(super) class: Class,
     /// Priority and latency goal; the lowest priority and the deadline if the route sets none.
     pub(super) order: Order,
@@ -160,7 +160,7 @@
         let gauges = self.0.gate.gauges();
         let active = self.0.upstream.active();
         let instance = active.as_ref().and_then(|it| it.instance.as_deref());
-        let owned = report::UnservedRequest {
+        let unserved = report::UnservedRequest {
             id: id.as_ref(),
             instance: instance.unwrap_or_default(),
             load: [gauges.running, gauges.waiting, gauges.limit],
@@ -168,7 +168,7 @@
             status: response.status(),
             headers: response.headers(),
         };
-        self.0.request_log.log_owned(now, &owned);
+        self.0.request_log.log_unserved(now, &unserved);
     }
 
     /// Updates the admission gate from `view`.
@@ -239,9 +239,9 @@
         if !view.ready {
             return Err(not_ready());
         }
-        let active = self.0.upstream.active().ok_or_else(not_ready)?;
+        let upstream = self.0.upstream.active().ok_or_else(not_ready)?;
         let found = view.services.get(&params.service);
-        let (Some(found), true) = (found, active.service == params.service) else {
+        let (Some(found), true) = (found, upstream.service == params.service) else {
             return Err(not_ready());
         };
         let terms = match self.0.origin {
@@ -286,13 +286,13 @@
         match &self.0.dialect {
             Dialect::Own => headers::insert_text(&mut headers, BUDGET, &params.tree.to_string()),
             Dialect::Foreign(fields) => {
-                if let Some(instance) = &active.instance {
+                if let Some(instance) = &upstream.instance {
                     headers::insert_text(&mut headers, fields.expected.clone(), instance);
                 }
             }
         }
         Ok(Job {
-            active,
+            upstream,
             class,
             order: params.order.unwrap_or(Order {
                 priority: u8::MAX,
@@ -440,7 +440,7 @@
     ) -> Result<Answer, Denial> {
         let limit = window.end;
         let suspect = self.suspect_permit(&job, limit).await?;
-        let pool = job.active.pool.clone();
+        let pool = job.upstream.pool.clone();
         let run = RunningRequest {
             run: self.0.upstream.begin(job.fingerprint),
             slot,
@@ -526,7 +526,7 @@
             && job.repeat == Repeat::Idempotent
             && matches!(job.payload, Payload::Whole(_));
         let silence = match may_abandon {
-            true => job.active.pool.silence_limit(left).min(left),
+            true => job.upstream.pool.silence_limit(left).min(left),
             false => left,
         };
         let mut sending = pin!(lease.send(request));
--- a/crates/node/src/traffic/pool.rs
+++ b/crates/node/src/traffic/pool.rs
@@ -62,7 +62,7 @@
     since: Instant,
 }
 
-/// One connection. Dropping it closes its socket, which tells the upstream that the request is cancelled.
+/// One connection. Dropping it closes its socket, which cancels the request at the upstream.
 #[derive(Debug)]
 struct Connection {
     sender: http1::SendRequest<Body>,
--- a/crates/node/src/traffic/report.rs
+++ b/crates/node/src/traffic/report.rs
@@ -145,7 +145,7 @@
     }
 
     /// Logs `owned`, subject to sampling.
-    pub fn log_owned(&self, now: Ms, it: &UnservedRequest<'_>) {
+    pub fn log_unserved(&self, now: Ms, it: &UnservedRequest<'_>) {
         let Some(omitted) = admit(&self.owned, now, Kind::Failure) else {
             return;
         };
