--- a/crates/node/src/traffic/denial.rs
+++ b/crates/node/src/traffic/denial.rs
@@ -185,6 +185,6 @@
     use laburnum_kernel::refusal::Remedy;
     match refusal.reason.remedy() {
         Remedy::Elsewhere | Remedy::Later => format!("retry in {} ms", refusal.after),
-        Remedy::Never => "the deadline has passed".to_owned(),
+        Remedy::Never => "the caller no longer waits for the answer".to_owned(),
     }
 }
