--- a/crates/kernel/src/guard.rs
+++ b/crates/kernel/src/guard.rs
@@ -157,7 +157,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// Reply to [`Call::Crashed`] and [`Call::Survived`].
-    Recorded,
+    Noted,
     /// Reply to [`Call::List`].
     Listed(Vec<Record>),
     /// Reply to [`Call::Lift`].
@@ -288,7 +288,7 @@
     let reply = match call {
         Call::Crashed { prints } => {
             report_crash(cx, state, prints);
-            Reply::Recorded
+            Reply::Noted
         }
         Call::Survived { print } => {
             if let Some(service) = state.guard.service.clone() {
@@ -296,7 +296,7 @@
                 let (print, time) = (*print, cx.now);
                 spread::send_to_service(cx, state, &service, &Message::Survived { print, time });
             }
-            Reply::Recorded
+            Reply::Noted
         }
         Call::List => Reply::Listed(state.guard.records.values().cloned().collect()),
         Call::Lift {
