--- a/crates/kernel/examples/overload/scenario.rs
+++ b/crates/kernel/examples/overload/scenario.rs
@@ -6,7 +6,8 @@
 /// Policy for sending, admitting and retrying requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Round robin, a queue in the upstream, and up to three retries, each after a timeout of a quarter of the deadline.
+    /// Round robin, a queue in the upstream, and up to three retries, each after a timeout of a quarter of the
+    /// deadline.
     Baseline,
     /// Admission control, two random choices and budgeted retries.
     Managed,
--- a/crates/kernel/src/admission.rs
+++ b/crates/kernel/src/admission.rs
@@ -372,7 +372,8 @@
         ticket
     }
 
-    /// Raises the consumption of a class that begins to wait to the virtual time, so that an idle class gains no credit.
+    /// Raises the consumption of a class that begins to wait to the virtual time, so that an idle class gains no
+    /// credit.
     fn activate(&mut self, now: Ms, class: Class) {
         let consumed = &mut self.consumed[index(class)];
         *consumed = consumed.max(self.virtual_time);
--- a/crates/kernel/src/admission/kinds.rs
+++ b/crates/kernel/src/admission/kinds.rs
@@ -142,7 +142,8 @@
         }
     }
 
-    /// Returns the index for a new kind. At the maximum it replaces the least recently used kind without running requests.
+    /// Returns the index for a new kind. At the maximum it replaces the least recently used kind without running
+    /// requests.
     fn allocate(&mut self, kind: Kind, rank: usize) -> Option<usize> {
         let state = KindStats::new(kind, rank, self.stats[rank].service);
         if self.stats.len() < RANKS + KINDS_MAX {
--- a/crates/kernel/src/admission/link.rs
+++ b/crates/kernel/src/admission/link.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Admits a body of `bytes` if it can arrive, after those admitted before, within `max_ms`. A body on an idle link is
-    /// always admitted.
+    /// Admits a body of `bytes` if it can arrive, after those admitted before, within `max_ms`. A body on an idle link
+    /// is always admitted.
     pub fn enter(&mut self, bytes: u64, max_ms: u64) -> Result<(), Refusal> {
         let max_ms = max_ms.min(BACKLOG_MS);
         let arrival = self.transfer_ms(self.pending + bytes);
--- a/crates/kernel/src/admission/ranks.rs
+++ b/crates/kernel/src/admission/ranks.rs
@@ -1,8 +1,8 @@
 //! Admission control by priority and latency goal, for routes that set both.
 //!
 //! Waiting requests run by priority; within one, first those that can still reach their goal, earliest goal first, then
-//! the late ones, earliest deadline first. Service times are averaged per kind of request. A request that would wait too
-//! long is refused at once, and a lower priority gets at least one start every [`STARVATION_MS`] while it waits.
+//! the late ones, earliest deadline first. Service times are averaged per kind of request. A request that would wait
+//! too long is refused at once, and a lower priority gets at least one start every [`STARVATION_MS`] while it waits.
 
 use std::{collections::BTreeSet, fmt, str::FromStr};
 
--- a/crates/kernel/src/connections.rs
+++ b/crates/kernel/src/connections.rs
@@ -132,8 +132,8 @@
         gauges
     }
 
-    /// Returns the connection that has been idle longest, if for at least [`IDLE_MIN_MS`]. Scans all slots, but only when
-    /// the set is full.
+    /// Returns the connection that has been idle longest, if for at least [`IDLE_MIN_MS`]. Scans all slots, but only
+    /// when the set is full.
     fn longest_idle(&self, now: Ms) -> Option<Key> {
         let idle = self.slots.iter().enumerate().filter_map(|(idx, slot)| {
             let connection = slot
--- a/crates/kernel/src/drain.rs
+++ b/crates/kernel/src/drain.rs
@@ -17,8 +17,8 @@
 
 inventory::submit! { Plugin { name: "drain", order: 80, scope: Scope::Any, handle } }
 
-/// Default minimum time from the stop to the exit, in ms. Entries that have not received the `Draining` record yet get a
-/// refusal instead of a closed port.
+/// Default minimum time from the stop to the exit, in ms. Entries that have not received the `Draining` record yet get
+/// a refusal instead of a closed port.
 pub const NOTICE_MS: u64 = 2_000;
 
 /// Default grace period for requests in progress if no document sets `drain.grace`, in ms.
--- a/crates/kernel/src/hot.rs
+++ b/crates/kernel/src/hot.rs
@@ -66,8 +66,8 @@
         Verdict::Admit
     }
 
-    /// Returns the caller's bucket. A new caller evicts the fullest bucket of its set, so that a caller at its limit can't
-    /// reset its bucket by sending under many names.
+    /// Returns the caller's bucket. A new caller evicts the fullest bucket of its set, so that a caller at its limit
+    /// can't reset its bucket by sending under many names.
     fn bucket(&mut self, now: u64, caller: u64) -> &mut Bucket {
         let first = (caller as usize % SETS) * WAYS;
         let set = &mut self.buckets[first..first + WAYS];
--- a/crates/kernel/src/instance.rs
+++ b/crates/kernel/src/instance.rs
@@ -1,8 +1,8 @@
 //! Tracks which instance is the upstream beside this node, from heartbeats that may arrive late or out of order.
 //!
-//! Each start of an upstream has its own instance id, or the same id and a later start time. Without the check, a delayed
-//! heartbeat of a replaced instance would make requests name the wrong instance, and the sequence numbers of a new start
-//! under the same id would look outdated.
+//! Each start of an upstream has its own instance id, or the same id and a later start time. Without the check, a
+//! delayed heartbeat of a replaced instance would make requests name the wrong instance, and the sequence numbers of a
+//! new start under the same id would look outdated.
 
 use std::{collections::VecDeque, sync::Arc};
 
--- a/crates/kernel/src/pick/placement.rs
+++ b/crates/kernel/src/pick/placement.rs
@@ -322,8 +322,8 @@
             .map_or(UNKNOWN_SERVICE_MS, |(_, it)| f64::from(it.service[rank]))
     }
 
-    /// Returns the expected wait of a request of `rank`, in ms: that of the outlook, discounted by age, plus that behind
-    /// the requests sent since.
+    /// Returns the expected wait of a request of `rank`, in ms: that of the outlook, discounted by age, plus that
+    /// behind the requests sent since.
     fn wait(&self, now: Ms, rank: usize) -> f64 {
         let Some((at, outlook)) = self.outlook else {
             let slots = f64::from(self.endpoint.slots.max(1));
--- a/crates/kernel/src/sampling.rs
+++ b/crates/kernel/src/sampling.rs
@@ -1,7 +1,7 @@
 //! Rate limit for the log lines of requests.
 //!
-//! Failures and successes have separate limits. Each line that is written states how many of its kind were omitted since
-//! the previous one.
+//! Failures and successes have separate limits. Each line that is written states how many of its kind were omitted
+//! since the previous one.
 
 use crate::clock::Ms;
 
--- a/crates/kernel/tests/placement_fleet.rs
+++ b/crates/kernel/tests/placement_fleet.rs
@@ -243,8 +243,8 @@
     f64::from(part) / f64::from(whole)
 }
 
-/// Guards against queues at the seemingly fastest endpoints while others idle: each of 78 entries receives an outlook of
-/// each of 46 endpoints about once a second.
+/// Guards against queues at the seemingly fastest endpoints while others idle: each of 78 entries receives an outlook
+/// of each of 46 endpoints about once a second.
 #[test_case(1_250.0, 0.93; "half of the capacity")]
 #[test_case(2_000.0, 0.88; "four fifths of the capacity")]
 #[test_case(2_600.0, 0.74; "above the capacity")]
--- a/crates/kernel/tests/ranks.rs
+++ b/crates/kernel/tests/ranks.rs
@@ -266,7 +266,8 @@
     let tallies = simulate(6, &classes, 60);
     let share = |it: Tally| f64::from(it.timely) / f64::from(it.asked);
     assert!(share(tallies[0]) > 0.9, "signatures: {:?}", tallies[0]);
-    // The slots left carry (6 - 17 * 0.078) / 0.095 = 49 of 70 reads, 0.7 of them, some of which take longer than the goal.
+    // The slots left carry (6 - 17 * 0.078) / 0.095 = 49 of 70 reads, 0.7 of them, some of which take longer than the
+    // goal.
     assert!(share(tallies[1]) > 0.5, "reads: {:?}", tallies[1]);
     assert!(
         tallies[1].late * 3 < tallies[1].timely,
--- a/crates/kernel/tests/retry.rs
+++ b/crates/kernel/tests/retry.rs
@@ -168,7 +168,8 @@
     assert_eq!(tree.map(|it| (it.retries, it.depth)), expected);
 }
 
-/// Guards against answers that reach the caller after its deadline: each hop reserves time for the answer to travel back.
+/// Guards against answers that reach the caller after its deadline: each hop reserves time for the answer to travel
+/// back.
 #[test]
 fn deadlines_shrink_per_hop() {
     let deadline = Deadline::after(NOW, 500);
