--- a/crates/edge/src/api.rs
+++ b/crates/edge/src/api.rs
@@ -1,4 +1,4 @@
-//! The operators' and upstreams' HTTP API of a node: the JSON bodies that travel.
+//! JSON bodies of a node's HTTP API for operators and upstreams.
 //!
 //! | request | body | answer |
 //! |---|---|---|
@@ -15,10 +15,10 @@
 //! | `PUT /v1/upstream` | [`AnnounceBody`] | |
 //! | `DELETE /v1/upstream` | | |
 //!
-//! A node with admin keys asks for `authorization: Bearer <token>` ([`crate::Token`]) on each of them, but for
-//! `/v1/upstream` from its own host.
+//! A node with admin keys requires `authorization: Bearer <token>` ([`crate::Token`]) on every path, except on
+//! `/v1/upstream` for requests from its own host.
 //!
-//! Any refusal but a [`SubmitAnswer`] is an [`ErrorBody`].
+//! Errors are answered with an [`ErrorBody`], or a [`SubmitAnswer`] for the outcome of a submission.
 
 use std::net::SocketAddr;
 
@@ -33,40 +33,40 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Longest request body, in bytes: a document at its bound, every second character escaped, and its envelope.
+/// Maximum length of a request body in bytes; holds the longest document with every second character escaped.
 pub const BODY_MAX: usize = 256 * 1024;
-/// Longest author of a submission, in bytes.
+/// Maximum length of an author in bytes.
 pub const AUTHOR_MAX: usize = 128;
-/// Longest reason of a submission, in bytes.
+/// Maximum length of a reason in bytes.
 pub const REASON_MAX: usize = 1024;
-/// Most changes in one [`AuditBody`].
+/// Maximum `limit` of a request for an [`AuditBody`], in log entries.
 pub const AUDIT_MAX: u32 = 500;
 
 /// Body of `POST /v1/submissions`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmitBody {
-    /// Chosen by the submitter, up to 32 hexadecimal digits.
+    /// Id chosen by the submitter, up to 32 hexadecimal digits.
     pub id: String,
     /// The service to change.
     pub service: Name,
-    /// The revision read last; zero for a new service.
+    /// The revision that the change is based on; zero for a new service.
     pub base: Revision,
-    /// The change.
+    /// The change to the service's document.
     pub edit: Edit,
     /// Who submits it.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub reason: String,
 }
 
-/// A [`SubmitBody`] that can be no submission.
+/// A field of a [`SubmitBody`] or of an operator's decision is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadSubmission {
-    /// Its id.
+    /// The id.
     #[error(transparent)]
     Id(#[from] BadSubmitId),
-    /// A text that would be unreadable in the audit, or forge a line of it.
+    /// A text that is empty, too long, or could forge a line of the audit.
     #[error("{field} is not valid; use 1 to {max} bytes without control characters")]
     Text { field: &'static str, max: usize },
 }
@@ -75,7 +75,7 @@
     type Error = BadSubmission;
 
     fn try_from(body: SubmitBody) -> Result<Submission, BadSubmission> {
-        check_act(&body.author, &body.reason)?;
+        check_attribution(&body.author, &body.reason)?;
         Ok(Submission {
             id: body.id.parse()?,
             service: body.service,
@@ -87,7 +87,7 @@
     }
 }
 
-fn line(field: &'static str, text: &str, max: usize) -> Result<(), BadSubmission> {
+fn check_text(field: &'static str, text: &str, max: usize) -> Result<(), BadSubmission> {
     let empty = text.trim().is_empty();
     if empty || text.len() > max || text.chars().any(char::is_control) {
         return Err(BadSubmission::Text { field, max });
@@ -100,39 +100,38 @@
 pub struct SubmitAnswer {
     /// The submission's id.
     pub id: String,
-    /// What became of it.
+    /// Its outcome.
     #[serde(flatten)]
     pub verdict: VerdictBody,
 }
 
-/// What became of a submission.
+/// Outcome of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "verdict")]
 pub enum VerdictBody {
-    /// 200: it is part of the log and never reverts.
+    /// 200: it is part of the log for good.
     Accepted { seq: Seq, revision: Revision },
     /// 409: another submission came first; nothing was changed.
     Conflict {
-        /// The service's revision now.
+        /// The service's current revision.
         revision: Revision,
-        /// Who made it.
+        /// Author of that revision.
         author: String,
-        /// What it changed, as a unified diff.
+        /// What that revision changed, as a unified diff.
         diff: String,
     },
-    /// 422: the submission is wrong in itself; nothing was changed.
+    /// 422: the submission is not valid; nothing was changed.
     Refused { why: String },
-    /// 503: the platform gave no answer; nothing was changed.
+    /// 503: the platform did not answer; nothing was changed.
     Unavailable { why: String },
-    /// 504: it may or may not be accepted: ask again by its id, or submit it again under the same id.
+    /// 504: it may or may not be accepted. Query it by its id, or submit it again under the same id.
     Unknown,
-    /// 404: asked by its id, and the log holds no such submission so far; submitting it again under the same
-    /// id is safe.
+    /// 404: the log holds no submission with this id so far; submitting it again under the same id is safe.
     Absent,
 }
 
 impl SubmitAnswer {
-    /// The answer about the submission `id`.
+    /// Creates the answer for the submission `id`.
     pub fn new(id: SubmitId, verdict: Verdict) -> SubmitAnswer {
         let verdict = match verdict {
             Verdict::Accepted { seq, revision } => VerdictBody::Accepted { seq, revision },
@@ -158,9 +157,9 @@
 /// Answer to `GET /v1/services`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListBody {
-    /// The log position of the node asked.
+    /// The log position of the node that answers.
     pub seq: Seq,
-    /// Every service in force there, by name.
+    /// Every service in force on that node, ordered by name.
     pub services: Vec<ListItem>,
 }
 
@@ -171,11 +170,11 @@
     pub service: Name,
     /// Its revision in force.
     pub revision: Revision,
-    /// Team that answers for it.
+    /// Team responsible for it.
     pub owner: String,
     /// Number of its routes.
     pub routes: usize,
-    /// Number of its upstreams that the node asked knows.
+    /// Number of its upstreams known to the node that answers.
     pub upstreams: usize,
 }
 
@@ -184,7 +183,7 @@
 pub struct ServiceBody {
     /// The service.
     pub service: Name,
-    /// Its revision in force at the node asked.
+    /// Its revision in force on the node that answers.
     pub revision: Revision,
     /// The log position of that node.
     pub seq: Seq,
@@ -195,36 +194,36 @@
 /// Answer to `GET /v1/status`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusBody {
-    /// The log position of the node asked.
+    /// The log position of the node that answers.
     pub seq: Seq,
-    /// The highest position that the node asked has heard of.
+    /// The highest log position reported to that node.
     pub heard: Seq,
-    /// Nodes alive, in the view of the node asked.
+    /// Number of nodes alive, as seen by that node.
     pub nodes: usize,
-    /// Nodes whose position the node asked knows.
+    /// Number of those nodes whose log position it knows.
     pub reported: usize,
-    /// Whether every node alive reported that it has in force all that was heard of.
+    /// Whether every node alive reported the position `heard`.
     pub everywhere: bool,
-    /// Nodes known to lag, the worst few.
-    pub behind: Vec<BehindBody>,
-    /// Accepted versions that some node cannot read, a few of them.
-    pub bad: Vec<BadBody>,
+    /// Some of the nodes known to lag, those furthest behind.
+    pub behind: Vec<LaggingNode>,
+    /// Some of the accepted versions that a node cannot read.
+    pub bad: Vec<UnreadableVersion>,
 }
 
-/// An accepted version that a node cannot read: it keeps the version before.
+/// An accepted version that a node cannot read; the node keeps the previous version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BadBody {
+pub struct UnreadableVersion {
     /// The service.
     pub service: Name,
-    /// The revision held back.
+    /// The revision that is not applied.
     pub revision: Revision,
-    /// A node that holds it back.
+    /// A node that does not apply it.
     pub node: NodeId,
 }
 
 /// A node that lags.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BehindBody {
+pub struct LaggingNode {
     /// The node.
     pub node: NodeId,
     /// Its log position.
@@ -234,7 +233,7 @@
 impl From<Status> for StatusBody {
     fn from(status: Status) -> StatusBody {
         let behind = status.behind.into_iter();
-        let bad = status.bad.into_iter().map(|it| BadBody {
+        let bad = status.bad.into_iter().map(|it| UnreadableVersion {
             service: it.service,
             revision: it.revision,
             node: it.node,
@@ -246,7 +245,9 @@
             reported: status.reported,
             everywhere: status.everywhere,
             bad: bad.collect(),
-            behind: behind.map(|(node, seq)| BehindBody { node, seq }).collect(),
+            behind: behind
+                .map(|(node, seq)| LaggingNode { node, seq })
+                .collect(),
         }
     }
 }
@@ -254,9 +255,9 @@
 /// Answer to `GET /v1/audit`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditBody {
-    /// Oldest first.
+    /// Changes, oldest first.
     pub changes: Vec<AuditChange>,
-    /// Ask again with `after` set to this; absent at the end of the log.
+    /// Value of `after` for the next page; absent at the end of the log.
     pub next: Option<Seq>,
 }
 
@@ -265,38 +266,39 @@
 pub struct AuditChange {
     /// Position in the log.
     pub seq: Seq,
-    /// When the committer took it, in ms since the Unix epoch.
+    /// When the committer accepted it, in ms since the Unix epoch.
     pub time: Ms,
     /// The submission that made it.
     pub id: String,
     /// The service changed.
     pub service: Name,
-    /// The revision that the submitter had read.
+    /// The revision that the change is based on.
     pub base: Revision,
-    /// The revision that the change made.
+    /// The revision that the change created.
     pub revision: Revision,
     /// Whether the document was put or deleted.
     pub action: AuditAction,
     /// Who submitted it.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub reason: String,
-    /// The unified diff from the document before.
+    /// Unified diff from the previous document.
     pub diff: String,
 }
 
-/// What a change did to a service's document.
+/// Effect of a change on a service's document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AuditAction {
-    /// It has a new text.
+    /// The document has a new text.
     Put,
-    /// The service is gone.
+    /// The service was deleted.
     Delete,
 }
 
 impl AuditBody {
-    /// The page `page`, of `service` alone if it is named: one entry of the log may hold changes of others.
+    /// Creates the answer for `page`. Keeps only the changes of `service`, if given: an entry of the log may also hold
+    /// changes of other services.
     pub fn new(page: Page, service: Option<&Name>) -> AuditBody {
         let changes = page.entries.into_iter().flat_map(|it| {
             let seq = it.batch.seq;
@@ -335,18 +337,18 @@
 /// Answer to `GET /v1/quarantines`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinesBody {
-    /// Those in force and those lifted lately, as the node asked knows them.
+    /// Quarantines in force and recently lifted, as known to the node that answers.
     pub quarantines: Vec<QuarantineBody>,
 }
 
-/// A request that crashed its upstreams.
+/// A quarantine: a fingerprint whose requests crash their upstreams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineBody {
     /// Fingerprint of the request, 16 hexadecimal digits.
     pub print: String,
-    /// The service that it crashes.
+    /// The service that the requests crash.
     pub service: Name,
-    /// Whether it is refused now.
+    /// Whether the requests are currently refused.
     pub held: bool,
     /// When it was quarantined or lifted, in ms since the Unix epoch.
     pub time: Ms,
@@ -369,14 +371,14 @@
 pub struct LiftBody {
     /// Who lifts it.
     pub author: String,
-    /// Why.
+    /// Reason for the decision.
     pub reason: String,
 }
 
 /// Answer to `GET /v1/unknown`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnknownBody {
-    /// Requests that may have run and whose answer cannot be had.
+    /// Requests that may have run and whose answer is lost.
     pub unknown: Vec<UnknownItem>,
 }
 
@@ -387,7 +389,7 @@
     pub service: Name,
     /// The caller's `Idempotency-Key`.
     pub key: String,
-    /// The node that ran it, or was about to.
+    /// The node that held the claim, and so may have run it.
     pub holder: NodeId,
     /// When it was claimed, in ms since the Unix epoch.
     pub time: Ms,
@@ -412,57 +414,57 @@
     pub service: Name,
     /// The caller's `Idempotency-Key`.
     pub key: String,
-    /// What the operator found out.
+    /// Whether the request ran.
     pub found: Found,
     /// Who decides.
     pub author: String,
-    /// Why.
+    /// Reason for the decision.
     pub reason: String,
 }
 
-/// What an operator found out about a request of unknown outcome.
+/// Whether a request of unknown outcome ran, as found out by an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Found {
-    /// It ran: it must never run again.
+    /// It ran and must not run again.
     Ran,
-    /// It surely did not run: the same key may be used again.
+    /// It did not run; the same key may be used again.
     NotRun,
 }
 
-/// Checks the author and the reason of an operator's act.
-pub fn check_act(author: &str, reason: &str) -> Result<(), BadSubmission> {
+/// Checks the author and the reason of a submission or an operator's decision.
+pub fn check_attribution(author: &str, reason: &str) -> Result<(), BadSubmission> {
     check_author(author)?;
     check_reason(reason)
 }
 
-/// Checks who acts.
+/// Checks an author.
 pub fn check_author(text: &str) -> Result<(), BadSubmission> {
-    line("author", text, AUTHOR_MAX)
+    check_text("author", text, AUTHOR_MAX)
 }
 
-/// Checks why.
+/// Checks a reason.
 pub fn check_reason(text: &str) -> Result<(), BadSubmission> {
-    line("reason", text, REASON_MAX)
+    check_text("reason", text, REASON_MAX)
 }
 
-/// Body of `PUT /v1/upstream`: an upstream announces itself to the node beside it.
+/// Body of `PUT /v1/upstream`, by which an upstream announces itself to the node beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnnounceBody {
     /// The service it serves.
     pub service: Name,
-    /// Where the node sends it requests.
+    /// Where the node sends requests to.
     pub address: SocketAddr,
-    /// Requests that it handles at once.
+    /// Number of requests that it handles concurrently.
     pub slots: u16,
-    /// Whether its cold start is over.
+    /// Whether its warm-up is complete.
     pub ready: bool,
 }
 
-/// Any refusal of the API.
+/// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What is wrong and what to do about it.
+    /// What is wrong and how to correct it.
     pub error: String,
 }
--- a/crates/edge/src/clock.rs
+++ b/crates/edge/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock of a process.
+//! The clock of a process: the system's time, or one that tests advance.
 
 use std::{
     sync::{
@@ -10,7 +10,7 @@
 
 use laburnum_kernel::Ms;
 
-/// Tells the time in milliseconds; never runs backwards.
+/// Returns the time in milliseconds; never runs backwards. Clones share one source.
 #[derive(Clone, Debug)]
 pub struct Clock(Arc<Source>);
 
@@ -18,12 +18,13 @@
 enum Source {
     /// Wall clock at start plus monotonic time since.
     System { epoch: Ms, start: Instant },
-    /// Moved by hand.
+    /// Set by [`Clock::advance`].
     Manual(AtomicU64),
 }
 
 impl Clock {
-    /// The machine's clock: the wall clock read once, then monotonic time.
+    /// Creates a clock that reads the wall clock once and adds monotonic time, so that a change of the wall clock
+    /// does not move it.
     pub fn system() -> Clock {
         let epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -34,12 +35,12 @@
         }))
     }
 
-    /// A clock that only [`Clock::advance`] moves.
+    /// Creates a clock that only [`Clock::advance`] moves.
     pub fn manual(now: Ms) -> Clock {
         Clock(Arc::new(Source::Manual(AtomicU64::new(now.0))))
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Ms {
         match &*self.0 {
             Source::System { epoch, start } => *epoch + start.elapsed().as_millis() as u64,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Moves a manual clock forward; the system clock moves by itself.
+    /// Moves a manual clock forward; has no effect on a system clock.
     pub fn advance(&self, millis: u64) {
         if let Source::Manual(now) = &*self.0 {
             now.fetch_add(millis, Ordering::SeqCst);
--- a/crates/edge/src/http.rs
+++ b/crates/edge/src/http.rs
@@ -1,8 +1,7 @@
-//! The platform over HTTP.
+//! Client of the platform's HTTP service.
 //!
-//! One call is one request: nothing is ever sent twice from here. Whether a write that went wrong may have
-//! taken effect is told apart as exactly as the connection allows, because the kernel reads back after
-//! [`Fault::Unknown`] and may simply try again after [`Fault::Unavailable`].
+//! Each call is sent at most once. A failed write is reported as [`Fault::Unavailable`] if it certainly had no
+//! effect (the kernel may retry it), and as [`Fault::Unknown`] if it may have had one (the kernel reads back).
 
 use std::{collections::HashSet, net::SocketAddr, time::Duration};
 
@@ -27,20 +26,20 @@
 
 pub mod wire;
 
-/// How the platform is reached.
+/// Address and limits of the connection to the platform.
 #[derive(Clone, Debug)]
 pub struct HttpSettings {
     /// Address of the platform's HTTP service. Default: 127.0.0.1:7200.
     pub address: SocketAddr,
-    /// Longest wait for a connection, in milliseconds. Default: 500.
+    /// Connect timeout in milliseconds. Default: 500.
     pub connect: u64,
-    /// Longest wait for a whole answer, in milliseconds. Default: 2000.
+    /// Timeout of a whole call, in milliseconds. Default: 2000.
     pub timeout: u64,
-    /// Most calls in progress. Default: 16.
+    /// Maximum number of calls in flight. Default: 16.
     pub concurrency: usize,
-    /// Most calls that wait for one of those places. Default: 256.
+    /// Maximum number of calls that wait until they may be sent. Default: 256.
     pub queue: usize,
-    /// Most bytes of one answer. Default: 16 MiB.
+    /// Maximum length of one answer in bytes. Default: 16 MiB.
     pub answer: usize,
 }
 
@@ -57,41 +56,41 @@
     }
 }
 
-/// The platform's HTTP service. Calls must be made inside a tokio runtime.
+/// A client of the platform's HTTP service. Calls must be made in_range a tokio runtime.
 #[derive(Debug)]
 pub struct HttpPlatform {
     settings: HttpSettings,
     client: Client<HttpConnector, Full<Bytes>>,
-    /// Calls in progress or waiting.
-    places: Semaphore,
-    /// Calls in progress.
-    slots: Semaphore,
+    /// Permits for calls in flight or waiting.
+    admission: Semaphore,
+    /// Permits for calls in flight.
+    in_flight: Semaphore,
 }
 
-/// Milliseconds after which an idle connection is closed from this side.
-const IDLE_MS: u64 = 10_000;
-/// Milliseconds to wait after a 429 that does not say how long.
-const RETRY_MS: u64 = 1_000;
-/// Most characters of the platform's own words that a fault repeats.
-const WORDS_MAX: usize = 200;
+/// Time after which the client closes an idle connection, in ms.
+const IDLE_TIMEOUT_MS: u64 = 10_000;
+/// Delay before a retry if a 429 response states none, in ms.
+const RETRY_AFTER_MS: u64 = 1_000;
+/// Maximum number of characters of the platform's error message that a fault repeats.
+const MESSAGE_MAX: usize = 200;
 
-/// What an operation does to the platform.
+/// Whether an operation can change the platform's data.
 #[derive(Clone, Copy)]
-enum Kind {
+enum Access {
     Read,
     Write,
 }
 
-/// How far a call came.
+/// Progress of a call.
 #[derive(Clone, Copy)]
 enum Stage {
-    /// Nothing was sent.
+    /// Waiting for a permit; nothing was sent.
     Waiting,
-    /// Some of the request may have been sent.
+    /// The request may have been sent, in part or whole.
     Sent,
 }
 
-/// A whole answer.
+/// A response with its complete body.
 struct Received {
     status: StatusCode,
     headers: HeaderMap,
@@ -99,57 +98,57 @@
 }
 
 impl HttpPlatform {
-    /// A client of the service at `settings.address`; connects with the first call.
+    /// Creates a client of the service at `settings.address`; the first call opens the connection.
     pub fn new(settings: HttpSettings) -> HttpPlatform {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_millis(settings.connect)));
         let client = Client::builder(TokioExecutor::new())
-            // The client would otherwise send again what a closing connection gave back; what to do
-            // about a write that failed is the kernel's decision alone.
+            // By default the client resends a request if the connection closes early; only the kernel may decide
+            // to repeat a write.
             .retry_canceled_requests(false)
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(Duration::from_millis(IDLE_MS))
+            .pool_idle_timeout(Duration::from_millis(IDLE_TIMEOUT_MS))
             .pool_max_idle_per_host(settings.concurrency)
             .build(connector);
         HttpPlatform {
             client,
-            places: Semaphore::new(settings.concurrency + settings.queue),
-            slots: Semaphore::new(settings.concurrency),
+            admission: Semaphore::new(settings.concurrency + settings.queue),
+            in_flight: Semaphore::new(settings.concurrency),
             settings,
         }
     }
 
     async fn get(&self, keys: Vec<String>) -> Result<TableAnswer, Fault> {
         let body = GetBody { keys };
-        let received = self.call(wire::TABLE_GET, &body, Kind::Read).await?;
-        let rows = rows(&received)?;
-        let asked: HashSet<&str> = body.keys.iter().map(String::as_str).collect();
-        match rows.iter().all(|it| asked.contains(it.key.as_str())) {
+        let received = self.call(wire::TABLE_GET, &body, Access::Read).await?;
+        let rows = parse_rows(&received)?;
+        let requested: HashSet<&str> = body.keys.iter().map(String::as_str).collect();
+        match rows.iter().all(|it| requested.contains(it.key.as_str())) {
             true => Ok(TableAnswer::Rows(rows)),
-            // An answer to somebody else's question; taking it would show rows as absent that exist.
-            false => Err(Kind::Read.lost()),
+            // The response belongs to another request; accepting it would report existing rows as absent.
+            false => Err(Access::Read.lost_answer()),
         }
     }
 
     async fn scan(&self, body: ScanBody) -> Result<TableAnswer, Fault> {
-        let received = self.call(wire::TABLE_SCAN, &body, Kind::Read).await?;
-        let rows = rows(&received)?;
-        let inside = |it: &Row| it.key.starts_with(&body.prefix) && it.key > body.after;
+        let received = self.call(wire::TABLE_SCAN, &body, Access::Read).await?;
+        let rows = parse_rows(&received)?;
+        let in_range = |it: &Row| it.key.starts_with(&body.prefix) && it.key > body.after;
         let ordered = rows.is_sorted_by(|lhs, rhs| lhs.key < rhs.key);
-        let few = rows.len() <= body.limit as usize;
-        match ordered && few && rows.iter().all(inside) {
+        let within_limit = rows.len() <= body.limit as usize;
+        match ordered && within_limit && rows.iter().all(in_range) {
             true => Ok(TableAnswer::Rows(rows)),
-            false => Err(Kind::Read.lost()),
+            false => Err(Access::Read.lost_answer()),
         }
     }
 
     async fn commit(&self, body: CommitBody) -> Result<TableAnswer, Fault> {
-        let received = self.call(wire::TABLE_COMMIT, &body, Kind::Write).await?;
+        let received = self.call(wire::TABLE_COMMIT, &body, Access::Write).await?;
         if received.status == StatusCode::CONFLICT {
-            return conflict(&received, &body.checks);
+            return parse_conflict(&received, &body.checks);
         }
-        done(&received)?;
+        parse_done(&received)?;
         Ok(TableAnswer::Committed)
     }
 
@@ -158,45 +157,57 @@
             ObjectOp::Put { name, bytes } => {
                 let bytes = wire::Base64(bytes);
                 let body = ObjectBody { name, bytes };
-                let received = self.call(wire::OBJECT_PUT, &body, Kind::Write).await?;
-                done(&received).map(|()| ObjectAnswer::Done)
+                let received = self.call(wire::OBJECT_PUT, &body, Access::Write).await?;
+                parse_done(&received).map(|()| ObjectAnswer::Done)
             }
             ObjectOp::Get { name } => {
                 let body = NameBody { name };
-                let received = self.call(wire::OBJECT_GET, &body, Kind::Read).await?;
-                object(&received, &body.name)
+                let received = self.call(wire::OBJECT_GET, &body, Access::Read).await?;
+                parse_object(&received, &body.name)
             }
             ObjectOp::Delete { name } => {
                 let body = NameBody { name };
-                let received = self.call(wire::OBJECT_DELETE, &body, Kind::Write).await?;
-                done(&received).map(|()| ObjectAnswer::Done)
+                let received = self.call(wire::OBJECT_DELETE, &body, Access::Write).await?;
+                parse_done(&received).map(|()| ObjectAnswer::Done)
             }
         }
     }
 
-    /// Sends one request and receives its whole answer, or says what that it went wrong means.
-    async fn call(&self, path: &str, body: &impl Serialize, kind: Kind) -> Result<Received, Fault> {
-        // A bounded queue: while the platform is down, memory does not grow with what waits for it.
-        let _place = self.places.try_acquire().map_err(|_| Fault::Unavailable)?;
+    /// Sends one request and returns the complete response, or the fault to report.
+    async fn call(
+        &self,
+        path: &str,
+        body: &impl Serialize,
+        access: Access,
+    ) -> Result<Received, Fault> {
+        // Bounds the calls that wait, and so memory, while the platform is down.
+        let _admission = self
+            .admission
+            .try_acquire()
+            .map_err(|_| Fault::Unavailable)?;
         let request = self.request(path, body)?;
         let mut stage = Stage::Waiting;
         let exchange = async {
-            let _slot = self.slots.acquire().await.map_err(|_| Fault::Unavailable)?;
+            let _permit = self
+                .in_flight
+                .acquire()
+                .await
+                .map_err(|_| Fault::Unavailable)?;
             stage = Stage::Sent;
-            self.exchange(request, kind).await
+            self.exchange(request, access).await
         };
         let limit = Duration::from_millis(self.settings.timeout);
         let timed = tokio::time::timeout(limit, exchange).await;
         let received = match (timed, stage) {
             (Ok(received), _) => received?,
             (Err(_), Stage::Waiting) => return Err(Fault::Unavailable),
-            (Err(_), Stage::Sent) => return Err(kind.lost()),
+            (Err(_), Stage::Sent) => return Err(access.lost_answer()),
         };
-        judge(received, kind)
+        check_status(received, access)
     }
 
     fn request(&self, path: &str, body: &impl Serialize) -> Result<Request<Full<Bytes>>, Fault> {
-        let invalid = |why: String| Fault::Invalid(shorten(&why));
+        let invalid = |why: String| Fault::Invalid(truncate(&why));
         let bytes = serde_json::to_vec(body).map_err(|it| invalid(it.to_string()))?;
         Request::builder()
             .method(Method::POST)
@@ -206,22 +217,26 @@
             .map_err(|it| invalid(it.to_string()))
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>, kind: Kind) -> Result<Received, Fault> {
+    async fn exchange(
+        &self,
+        request: Request<Full<Bytes>>,
+        access: Access,
+    ) -> Result<Received, Fault> {
         let response =
             self.client
                 .request(request)
                 .await
                 .map_err(|error| match error.is_connect() {
-                    // Without a connection no byte was sent. Every other failure counts as sent: a kept
-                    // connection may close just as the request goes out, and nobody can say which came first.
+                    // Without a connection nothing was sent. Any other failure counts as sent: a pooled connection
+                    // may close while the request is being written.
                     true => Fault::Unavailable,
-                    false => kind.lost(),
+                    false => access.lost_answer(),
                 })?;
         let (parts, body) = response.into_parts();
         let body = Limited::new(body, self.settings.answer).collect().await;
-        let body = body.map_err(|error| match (kind, error.is::<LengthLimitError>()) {
-            (Kind::Read, true) => too_long(self.settings.answer),
-            _ => kind.lost(),
+        let body = body.map_err(|error| match (access, error.is::<LengthLimitError>()) {
+            (Access::Read, true) => answer_too_long(self.settings.answer),
+            _ => access.lost_answer(),
         })?;
         Ok(Received {
             status: parts.status,
@@ -231,12 +246,13 @@
     }
 }
 
-impl Kind {
-    /// The answer is lost: a write may have taken effect, a read may simply be tried again.
-    fn lost(self) -> Fault {
+impl Access {
+    /// Returns the fault for a call that was sent and got no valid answer: a write may have taken effect, a read is
+    /// safe to retry.
+    fn lost_answer(self) -> Fault {
         match self {
-            Kind::Read => Fault::Unavailable,
-            Kind::Write => Fault::Unknown,
+            Access::Read => Fault::Unavailable,
+            Access::Write => Fault::Unknown,
         }
     }
 }
@@ -275,25 +291,25 @@
     }
 }
 
-/// Turns every status that is no answer to the operation into its fault.
-fn judge(received: Received, kind: Kind) -> Result<Received, Fault> {
+/// Passes on responses that answer the operation; turns every other status into a fault.
+fn check_status(received: Received, access: Access) -> Result<Received, Fault> {
     match received.status {
         StatusCode::OK | StatusCode::CONFLICT | StatusCode::NOT_FOUND => Ok(received),
         StatusCode::TOO_MANY_REQUESTS => Err(Fault::Throttled {
             after: retry_after(&received),
         }),
-        StatusCode::REQUEST_TIMEOUT => Err(kind.lost()),
-        // A 503 of the platform itself says that nothing was done; one from something in between may
-        // come after the write, so only the body's word counts.
+        StatusCode::REQUEST_TIMEOUT => Err(access.lost_answer()),
+        // The platform's own 503 states in its body that nothing was done. A 503 from a proxy may come after the
+        // write, so the status alone is not enough.
         StatusCode::SERVICE_UNAVAILABLE => match error_body(&received).effect {
             Effect::None => Err(Fault::Unavailable),
-            Effect::Unknown => Err(kind.lost()),
+            Effect::Unknown => Err(access.lost_answer()),
         },
         status if status.is_client_error() => {
-            let words = error_body(&received).error;
-            Err(Fault::Invalid(format!("{status}: {}", shorten(&words))))
+            let message = error_body(&received).error;
+            Err(Fault::Invalid(format!("{status}: {}", truncate(&message))))
         }
-        _ => Err(kind.lost()),
+        _ => Err(access.lost_answer()),
     }
 }
 
@@ -306,63 +322,63 @@
     error_body(received)
         .after
         .or_else(header)
-        .unwrap_or(RETRY_MS)
+        .unwrap_or(RETRY_AFTER_MS)
 }
 
 fn error_body(received: &Received) -> ErrorBody {
     serde_json::from_slice(&received.bytes).unwrap_or_default()
 }
 
-fn rows(received: &Received) -> Result<Vec<Row>, Fault> {
-    let body: RowsBody = decode(received, StatusCode::OK, Kind::Read)?;
-    body.try_into().map_err(|_| Kind::Read.lost())
+fn parse_rows(received: &Received) -> Result<Vec<Row>, Fault> {
+    let body: RowsBody = decode(received, StatusCode::OK, Access::Read)?;
+    body.try_into().map_err(|_| Access::Read.lost_answer())
 }
 
-fn done(received: &Received) -> Result<(), Fault> {
-    let body: DoneBody = decode(received, StatusCode::OK, Kind::Write)?;
+fn parse_done(received: &Received) -> Result<(), Fault> {
+    let body: DoneBody = decode(received, StatusCode::OK, Access::Write)?;
     match body.done {
         true => Ok(()),
-        false => Err(Kind::Write.lost()),
+        false => Err(Access::Write.lost_answer()),
     }
 }
 
-/// Holds for the rows of the checks only: a foreign answer says nothing about this commit.
-fn conflict(received: &Received, checks: &[Check]) -> Result<TableAnswer, Fault> {
-    let body: RowsBody = decode(received, StatusCode::CONFLICT, Kind::Write)?;
-    let rows: Vec<Row> = body.try_into().map_err(|_| Kind::Write.lost())?;
+/// Reads a conflict. A response with rows that the commit did not check belongs to another request.
+fn parse_conflict(received: &Received, checks: &[Check]) -> Result<TableAnswer, Fault> {
+    let body: RowsBody = decode(received, StatusCode::CONFLICT, Access::Write)?;
+    let rows: Vec<Row> = body.try_into().map_err(|_| Access::Write.lost_answer())?;
     let checked = |row: &Row| checks.iter().any(|it| it.key == row.key);
     match rows.iter().all(checked) {
         true => Ok(TableAnswer::Conflict(rows)),
-        false => Err(Kind::Write.lost()),
+        false => Err(Access::Write.lost_answer()),
     }
 }
 
-fn object(received: &Received, name: &str) -> Result<ObjectAnswer, Fault> {
-    let body: BytesBody = decode(received, received.status, Kind::Read)?;
+fn parse_object(received: &Received, name: &str) -> Result<ObjectAnswer, Fault> {
+    let body: BytesBody = decode(received, received.status, Access::Read)?;
     match (received.status, body.bytes) {
-        _ if body.name != name => Err(Kind::Read.lost()),
+        _ if body.name != name => Err(Access::Read.lost_answer()),
         (StatusCode::OK, Some(bytes)) => Ok(ObjectAnswer::Bytes(bytes.0)),
         (StatusCode::NOT_FOUND, None) => Ok(ObjectAnswer::Absent),
-        _ => Err(Kind::Read.lost()),
+        _ => Err(Access::Read.lost_answer()),
     }
 }
 
 fn decode<T: DeserializeOwned>(
     received: &Received,
     status: StatusCode,
-    kind: Kind,
+    access: Access,
 ) -> Result<T, Fault> {
     if received.status != status {
-        return Err(kind.lost());
+        return Err(access.lost_answer());
     }
-    serde_json::from_slice(&received.bytes).map_err(|_| kind.lost())
+    serde_json::from_slice(&received.bytes).map_err(|_| access.lost_answer())
 }
 
-fn too_long(limit: usize) -> Fault {
+fn answer_too_long(limit: usize) -> Fault {
     let why = format!("the answer exceeds {limit} bytes; read fewer rows or smaller objects");
     Fault::Invalid(why)
 }
 
-fn shorten(words: &str) -> String {
-    words.chars().take(WORDS_MAX).collect()
+fn truncate(text: &str) -> String {
+    text.chars().take(MESSAGE_MAX).collect()
 }
--- a/crates/edge/src/http/wire.rs
+++ b/crates/edge/src/http/wire.rs
@@ -1,4 +1,4 @@
-//! JSON bodies of the platform's HTTP service, as `docs/PLATFORM.md` describes them.
+//! JSON bodies of the platform's HTTP service; `docs/PLATFORM.md` describes the protocol.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use laburnum_kernel::platform::{ABSENT, Check, Row, Write};
@@ -17,7 +17,7 @@
 /// Removes an object.
 pub const OBJECT_DELETE: &str = "/v1/objects/delete";
 
-/// Bytes that travel as base64 text.
+/// Bytes that are serialized as base64 text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Base64(pub Vec<u8>);
 
@@ -33,11 +33,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScanBody {
-    /// What the keys start with.
+    /// Prefix of the keys.
     pub prefix: String,
-    /// What the keys sort after.
+    /// Only keys that sort after this one are returned.
     pub after: String,
-    /// Most rows wanted.
+    /// Maximum number of rows.
     pub limit: u32,
 }
 
@@ -45,9 +45,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CommitBody {
-    /// All must hold.
+    /// Row versions that must match for the commit to take effect.
     pub checks: Vec<Check>,
-    /// Carried out in this order.
+    /// Writes, applied in this order.
     pub writes: Vec<WriteBody>,
 }
 
@@ -73,7 +73,7 @@
 pub struct RowBody {
     /// Key.
     pub key: String,
-    /// Version, from 1.
+    /// Version; the first one is 1.
     pub version: u64,
     /// Value.
     pub value: Base64,
@@ -82,7 +82,7 @@
 /// Answer to a commit that took effect, and to an object's put or delete (200).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DoneBody {
-    /// Always true; an empty or foreign body therefore never reads as success.
+    /// Always true; required, so that an empty or unrelated body is not taken for success.
     pub done: bool,
 }
 
@@ -107,16 +107,16 @@
 /// Answer to [`OBJECT_GET`]: 200 with bytes, 404 with none.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BytesBody {
-    /// The object's name again, so that an answer to another read is noticed.
+    /// The object's name; lets the client detect the answer to another read.
     pub name: String,
     /// Its content, if it exists.
     pub bytes: Option<Base64>,
 }
 
-/// Every other answer.
+/// Body of every other answer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What is wrong.
+    /// What went wrong.
     pub error: String,
     /// With 429: milliseconds until a call may succeed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -126,21 +126,21 @@
     pub effect: Effect,
 }
 
-/// Whether a refused operation may have taken effect.
+/// Whether a failed operation may have taken effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// It certainly had none.
+    /// It had no effect.
     None,
-    /// Nobody says.
+    /// It may have had an effect; the default if the body does not say.
     #[default]
     Unknown,
 }
 
-/// A row's version is [`ABSENT`], which no row has.
+/// A row has version 0 ([`ABSENT`]), which stands for a row that does not exist.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a row has version 0; versions start at 1")]
-pub struct NoVersion;
+pub struct ZeroVersion;
 
 impl Serialize for Base64 {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
@@ -194,11 +194,11 @@
 }
 
 impl TryFrom<RowsBody> for Vec<Row> {
-    type Error = NoVersion;
+    type Error = ZeroVersion;
 
-    fn try_from(body: RowsBody) -> Result<Vec<Row>, NoVersion> {
+    fn try_from(body: RowsBody) -> Result<Vec<Row>, ZeroVersion> {
         let rows = body.rows.into_iter().map(|it| match it.version {
-            ABSENT => Err(NoVersion),
+            ABSENT => Err(ZeroVersion),
             version => Ok(Row {
                 key: it.key,
                 version,
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,6 +1,5 @@
-//! The edges of a process: the platform, the link to other nodes and the clock.
-//!
-//! These are the only traits of the project. Each has the adapter that production uses and one for tests.
+//! Adapters to the outside world: the platform's table and object store, the link between nodes, the clock, and
+//! the bodies and bearer tokens of the operators' API.
 
 pub mod api;
 pub mod clock;
--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/link.rs
@@ -1,4 +1,4 @@
-//! The link between nodes: sealed frames over TCP and probe datagrams over UDP.
+//! The link between nodes: authenticated frames over TCP for messages, and over UDP for probes.
 
 pub mod frame;
 pub mod key;
@@ -10,45 +10,45 @@
 
 pub use self::{
     key::{Key, Keys},
-    zmq::{IDLE_MS, PEERS_MAX, SWEEP_MS, Waker, ZmqLink},
+    zmq::{IDLE_TIMEOUT_MS, PEERS_MAX, SWEEP_INTERVAL_MS, Waker, ZmqLink},
 };
 
-/// What arrived over the link, from a sender that holds the key.
+/// A message or probe from a sender that holds the link key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Incoming {
-    /// A message over TCP.
+    /// A message received over TCP.
     Message { from: NodeId, message: Message },
-    /// A probe over UDP.
+    /// A probe received over UDP.
     Probe { from: NodeId, packet: Packet },
 }
 
-/// Node to node. Sends never block; what cannot be sent is dropped and counted.
+/// Communication between nodes. Sends never block; a message that cannot be sent is dropped and counted.
 pub trait Link {
-    /// Sends a message; delivery is not promised.
+    /// Sends a message; delivery is not guaranteed.
     fn send(&mut self, to: NodeId, message: &Message);
 
-    /// Sends a probe; delivery is not promised.
+    /// Sends a probe; delivery is not guaranteed.
     fn probe(&mut self, to: NodeId, packet: &Packet);
 
-    /// Waits up to `timeout` ms for something to arrive or for a wake-up.
+    /// Waits up to `timeout` ms for a message, a probe or a wake-up, and returns what was received.
     fn wait(&mut self, timeout: u64) -> Vec<Incoming>;
 
-    /// What went over the link so far.
+    /// Returns the traffic counters.
     fn traffic(&self) -> &Traffic;
 }
 
-/// The kinds of control traffic.
+/// Kinds of control traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// Probe datagrams.
     Probe,
-    /// Member records in bulk, and that the platform's store was put back.
+    /// Bulk transfers of member records, and notices that the platform's store was restored.
     Members,
-    /// Submissions on their way to a committer.
+    /// Submissions forwarded to a committer.
     Accept,
     /// Configuration.
     Spread,
-    /// Claims.
+    /// Claims of idempotency keys.
     Once,
     /// Quarantined fingerprints.
     Guard,
@@ -68,7 +68,7 @@
         Kind::Import,
     ];
 
-    /// The kind that `message` counts as.
+    /// Returns the kind that `message` is counted as.
     pub fn of(message: &Message) -> Kind {
         match message {
             Message::Members(_) | Message::Restore(_) => Kind::Members,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Stable name in metrics.
+    /// Returns the name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Probe => "probe",
@@ -96,8 +96,8 @@
 
 /// Counters since the process started.
 ///
-/// Bytes are those of frames with their seal, plus [`FRAME_HEADER`] for a message and
-/// [`DATAGRAM_HEADER`] for a probe; TCP's own headers and acknowledgements are not seen from here.
+/// Bytes include the frame's tag, plus [`FRAME_HEADER`] for a message or [`DATAGRAM_HEADER`] for a probe. TCP headers
+/// and acknowledgements are not counted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
     /// Bytes sent, by kind.
@@ -106,51 +106,53 @@
     pub received: [u64; Kind::ALL.len()],
     /// Frames accepted.
     pub accepted: u64,
-    /// Messages that could not be sent: too large, or the peer's queue is full.
+    /// Messages and probes dropped because they were too large or could not be sent, such as on a full queue.
     pub unsent: u64,
-    /// Frames from a sender without the key, or damaged.
+    /// Frames that failed authentication or could not be decoded.
     pub strange: u64,
-    /// Frames seen before or from an earlier start of their sender.
+    /// Frames rejected as replays: received before, or from an earlier start of their sender.
     pub replayed: u64,
 }
 
 impl Traffic {
-    /// All bytes sent.
+    /// Returns the bytes sent, over all kinds.
     pub fn sent_total(&self) -> u64 {
         self.sent.iter().sum()
     }
 
-    /// All bytes received and accepted.
+    /// Returns the bytes received and accepted, over all kinds.
     pub fn received_total(&self) -> u64 {
         self.received.iter().sum()
     }
 }
 
-/// Bytes that libzmq adds to a frame of more than 255 bytes; a shorter one gets 2.
+/// Bytes that libzmq adds to a frame of more than 255 bytes; to a shorter one it adds 2.
 pub const FRAME_HEADER: u64 = 9;
 
 /// Bytes of the IPv4 and UDP headers of a datagram.
 pub const DATAGRAM_HEADER: u64 = 28;
 
-/// The link's sockets cannot be opened.
+/// The link could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The TCP socket cannot be bound.
-    #[error("cannot bind the control address {address} over TCP: {source}; choose a free one")]
+    /// The TCP socket could not be bound.
+    #[error("cannot bind the control address {address} over TCP: {source}; choose a free address")]
     Bind {
         address: NodeId,
         source: ::zmq::Error,
     },
-    /// The UDP socket cannot be bound.
-    #[error("cannot bind the control address {address} over UDP: {source}; choose a free one")]
+    /// The UDP socket could not be bound.
+    #[error("cannot bind the control address {address} over UDP: {source}; choose a free address")]
     Probe {
         address: NodeId,
         source: std::io::Error,
     },
-    /// A socket of libzmq cannot be made.
-    #[error("cannot make a socket: {0}; raise the limit of open files")]
+    /// A libzmq socket could not be created.
+    #[error("cannot create a socket: {0}; raise the limit of open files")]
     Socket(#[from] ::zmq::Error),
-    /// The wake-up socket or the control thread cannot be made.
-    #[error("cannot make the wake-up socket: {0}; raise the limit of open files")]
+    /// The wake-up socket or the control thread could not be created.
+    #[error(
+        "cannot create the wake-up socket or the control thread: {0}; raise the limit of open files"
+    )]
     Wake(#[from] std::io::Error),
 }
--- a/crates/edge/src/link/frame.rs
+++ b/crates/edge/src/link/frame.rs
@@ -1,28 +1,26 @@
-//! Sealed frames: who sent what to whom, under a keyed hash.
+//! Frames authenticated by a keyed hash; they are not encrypted.
 //!
-//! A frame is the postcard encoding of (sender, start of its process, counter, body) followed by a tag: the
-//! first [`TAG_LEN`] bytes of the keyed BLAKE3 hash over the channel, the receiver's address and the rest of
-//! the frame. The receiver's address is hashed and not sent, so that a frame recorded on its way to one node
-//! does not open at another. Frames are authentic, not confidential.
+//! A frame is the postcard encoding of [`Frame`] followed by a tag: the first [`TAG_LEN`] bytes of the keyed BLAKE3
+//! hash over the channel, the receiver's address and the encoding. The receiver's address is hashed but not sent, so
+//! that a frame recorded on its way to one node is rejected by another.
 
 use laburnum_kernel::NodeId;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use super::key::{Key, Keys};
 
-/// The largest frame, in bytes. A larger one closes the connection that it comes from.
+/// Maximum length of a frame in bytes; a longer one closes its connection.
 ///
-/// Without this bound a stranger's 9-byte header that names 2^40 bytes makes the process allocate
-/// them and abort; libzmq refuses such a frame from its header alone.
+/// libzmq enforces it on the length in the frame's header, before it allocates memory for the content.
 pub const FRAME_MAX: usize = 64 * 1024;
 
-/// The largest datagram, in bytes; fits an Ethernet frame.
+/// Maximum length of a datagram in bytes; fits an Ethernet frame.
 pub const PROBE_MAX: usize = 1400;
 
 /// Length of the tag in bytes.
 pub const TAG_LEN: usize = 16;
 
-/// The channel that a frame belongs to; a frame of one does not open on the other.
+/// The channel that a frame belongs to; a frame of one is rejected on the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Channel {
     /// Messages over TCP.
@@ -32,7 +30,7 @@
 }
 
 impl Channel {
-    /// Most bytes of one frame.
+    /// Returns the maximum length of a frame in bytes.
     pub fn max(self) -> usize {
         match self {
             Channel::Message => FRAME_MAX,
@@ -48,34 +46,34 @@
     }
 }
 
-/// A frame that was opened.
+/// A decoded frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame<T> {
     /// The sender.
     pub from: NodeId,
-    /// Start of the sender's process, in ms.
+    /// When the sender's process started, in ms.
     pub started: u64,
-    /// Grows with each frame of that process on this channel.
+    /// Number of the frame; increases with each frame of that process on this channel.
     pub counter: u64,
-    /// What it says.
+    /// Content.
     pub body: T,
 }
 
-/// The frame is not one of ours.
+/// A frame cannot be sealed or opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// It cannot be sent: it is larger than its channel allows.
-    #[error("the frame is too large; split what it carries")]
+    /// It is larger than its channel allows.
+    #[error("the frame is too large; split its content")]
     TooLarge,
-    /// Its tag does not fit any key in force.
-    #[error("the frame's tag does not fit; give both nodes the same --link-key")]
-    Strange,
-    /// The tag fits but the body does not read: the sender runs another version.
-    #[error("the frame's body does not read; run the same version on both nodes")]
+    /// Its tag is missing or does not match any accepted key.
+    #[error("the frame's tag matches no accepted key; give both nodes the same --link-key")]
+    BadTag,
+    /// The tag matches but the body cannot be decoded: the sender runs another version.
+    #[error("the frame's body cannot be decoded; run the same version on both nodes")]
     Malformed,
 }
 
-/// Seals `frame` for `to`.
+/// Encodes `frame` and appends its tag for the receiver `to`.
 pub fn seal<T: Serialize>(
     keys: &Keys,
     channel: Channel,
@@ -86,35 +84,37 @@
     if bytes.len() + TAG_LEN > channel.max() {
         return Err(FrameError::TooLarge);
     }
-    let tag = tag(keys.seal(), channel, to, &bytes);
+    let tag = tag(keys.sealing_key(), channel, to, &bytes);
     bytes.extend_from_slice(&tag.as_bytes()[..TAG_LEN]);
     Ok(bytes)
 }
 
-/// Opens what arrived at `own`. The body is not read before the tag fits.
+/// Verifies and decodes a frame received by the node `receiver`. Nothing is decoded before the tag is verified.
 pub fn open<T: DeserializeOwned>(
     keys: &Keys,
     channel: Channel,
-    own: NodeId,
+    receiver: NodeId,
     bytes: &[u8],
 ) -> Result<Frame<T>, FrameError> {
     let Some(len) = bytes.len().checked_sub(TAG_LEN) else {
-        return Err(FrameError::Strange);
+        return Err(FrameError::BadTag);
     };
-    let (rest, given) = bytes.split_at(len);
-    if !keys.all().any(|it| fits(it, channel, own, rest, given)) {
-        return Err(FrameError::Strange);
+    let (encoded, given) = bytes.split_at(len);
+    if !keys
+        .all()
+        .any(|it| has_tag(it, channel, receiver, encoded, given))
+    {
+        return Err(FrameError::BadTag);
     }
-    match postcard::take_from_bytes(rest) {
+    match postcard::take_from_bytes(encoded) {
         Ok((frame, [])) => Ok(frame),
         _ => Err(FrameError::Malformed),
     }
 }
 
-fn fits(key: &Key, channel: Channel, own: NodeId, rest: &[u8], given: &[u8]) -> bool {
-    let tag = tag(key, channel, own, rest);
-    // Compared as a whole: a comparison that stops at the first difference would tell a stranger by its
-    // time how much of a guessed tag fits.
+fn has_tag(key: &Key, channel: Channel, receiver: NodeId, encoded: &[u8], given: &[u8]) -> bool {
+    let tag = tag(key, channel, receiver, encoded);
+    // In constant time, so that the response time reveals nothing about a guessed tag.
     let difference = tag.as_bytes()[..TAG_LEN]
         .iter()
         .zip(given)
@@ -122,11 +122,11 @@
     difference == 0
 }
 
-fn tag(key: &Key, channel: Channel, to: NodeId, rest: &[u8]) -> blake3::Hash {
+fn tag(key: &Key, channel: Channel, to: NodeId, encoded: &[u8]) -> blake3::Hash {
     let address = to.to_string();
     blake3::Hasher::new_keyed(key.bytes())
         .update(&[channel.label(), address.len() as u8])
         .update(address.as_bytes())
-        .update(rest)
+        .update(encoded)
         .finalize()
 }
--- a/crates/edge/src/link/key.rs
+++ b/crates/edge/src/link/key.rs
@@ -1,24 +1,24 @@
-//! Keys that the nodes of one fleet share.
+//! Secret keys that the nodes of one fleet share.
 
 use std::{fmt, str::FromStr};
 
-/// A key of 32 bytes, written as 64 hexadecimal digits. Never printed.
+/// A key of 32 bytes, parsed from 64 hexadecimal digits. Its `Debug` output hides it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key([u8; KEY_LEN]);
 
 /// Length of a key in bytes.
 pub const KEY_LEN: usize = 32;
 
-/// The text is not a key. The text itself stays out of the message: it may be most of a secret.
+/// The text is not a valid key. The message omits the text, which may contain most of a secret.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a link key is 64 hexadecimal digits; make one with: openssl rand -hex 32")]
 pub struct BadKey;
 
 impl Key {
-    /// The key that everybody knows.
+    /// The all-zero key, which is public and protects nothing.
     pub const PUBLIC: Key = Key([0; KEY_LEN]);
 
-    /// The key made of these bytes.
+    /// Creates a key from its bytes.
     pub fn new(bytes: [u8; KEY_LEN]) -> Key {
         Key(bytes)
     }
@@ -44,46 +44,46 @@
     }
 }
 
-/// The keys in force: frames are sealed with one and opened with any.
+/// The keys in force: frames are sealed with one and accepted with any.
 ///
-/// Rotation without a cut: first give every node the new key as a further one, then seal with it and keep
-/// the old as the further one, then drop the old.
+/// To rotate keys without an interruption, give every node the new key as an accepted one, then let every node seal
+/// with the new key and accept the old one, then remove the old key.
 #[derive(Clone, Debug)]
 pub struct Keys {
-    seal: Key,
-    further: Vec<Key>,
+    sealing_key: Key,
+    accepted_keys: Vec<Key>,
 }
 
 impl Keys {
-    /// One key.
-    pub fn new(seal: Key) -> Keys {
+    /// Creates keys with one key that both seals and opens frames.
+    pub fn new(sealing_key: Key) -> Keys {
         Keys {
-            seal,
-            further: Vec::new(),
+            sealing_key,
+            accepted_keys: Vec::new(),
         }
     }
 
-    /// Also opens frames sealed with `key`.
+    /// Also accepts frames sealed with `key`.
     pub fn accepting(mut self, key: Key) -> Keys {
-        self.further.push(key);
+        self.accepted_keys.push(key);
         self
     }
 
-    /// Keys made of these for another purpose, so that a tag of one is worth nothing for the other.
+    /// Derives keys for another purpose; a tag made for one purpose is not valid for the other.
     pub fn derive(&self, purpose: &str) -> Keys {
         let derive = |it: &Key| Key(blake3::derive_key(purpose, &it.0));
         Keys {
-            seal: derive(&self.seal),
-            further: self.further.iter().map(derive).collect(),
+            sealing_key: derive(&self.sealing_key),
+            accepted_keys: self.accepted_keys.iter().map(derive).collect(),
         }
     }
 
-    /// The tag of `parts` by the key that seals.
+    /// Returns the tag of `parts` under the sealing key.
     pub fn tag<'a>(&self, parts: impl IntoIterator<Item = &'a [u8]>) -> blake3::Hash {
-        tag(&self.seal, parts)
+        tag(&self.sealing_key, parts)
     }
 
-    /// Whether `given` is the tag of `parts` by any key in force; compared in constant time.
+    /// Returns whether `given` is the tag of `parts` under any key in force. Compares in constant time.
     pub fn fits<'a>(
         &self,
         parts: impl IntoIterator<Item = &'a [u8]> + Clone,
@@ -92,21 +92,21 @@
         self.all().any(|it| tag(it, parts.clone()) == *given)
     }
 
-    /// Whether a key in force is the one that everybody knows.
+    /// Returns whether any key in force is [`Key::PUBLIC`].
     pub fn is_public(&self) -> bool {
         self.all().any(|it| *it == Key::PUBLIC)
     }
 
-    pub(super) fn seal(&self) -> &Key {
-        &self.seal
+    pub(super) fn sealing_key(&self) -> &Key {
+        &self.sealing_key
     }
 
     pub(super) fn all(&self) -> impl Iterator<Item = &Key> {
-        std::iter::once(&self.seal).chain(&self.further)
+        std::iter::once(&self.sealing_key).chain(&self.accepted_keys)
     }
 }
 
-/// Each part is hashed after its length, so that no two lists of parts read the same.
+/// Hashes each part after its length, so that different lists of parts never hash the same bytes.
 fn tag<'a>(key: &Key, parts: impl IntoIterator<Item = &'a [u8]>) -> blake3::Hash {
     let mut hasher = blake3::Hasher::new_keyed(&key.0);
     parts.into_iter().for_each(|it| {
@@ -116,7 +116,7 @@
 }
 
 impl Default for Keys {
-    /// A key that everybody knows, for trials on loopback. The node refuses to use it on other addresses.
+    /// Returns the public key alone, for trials on loopback. The node refuses to use it on other addresses.
     fn default() -> Keys {
         Keys::new(Key::PUBLIC)
     }
--- a/crates/edge/src/link/replay.rs
+++ b/crates/edge/src/link/replay.rs
@@ -1,92 +1,91 @@
-//! Frames seen before are refused.
+//! Protection against replayed frames.
 
 use std::collections::HashMap;
 
 use laburnum_kernel::{Ms, NodeId};
 
-/// Whether a frame may be taken.
+/// Result of [`ReplayFilter::check`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
-    /// First time.
+pub enum Freshness {
+    /// The frame is new and can be processed.
     New,
-    /// Seen before, too old to tell, or from an earlier start of its sender.
+    /// The frame was received before, is older than the window, or comes from an earlier start of its sender.
     Replayed,
 }
 
-/// How far frames of one sender may overtake one another.
+/// Number of the latest counters of a sender that are tracked; a frame that is delayed by more is rejected.
 pub const WINDOW: u64 = 64;
 
-/// A sender unheard for so long is forgotten, in ms.
+/// Time after its last accepted frame until a sender is forgotten, in ms.
 ///
-/// A host whose clock was set back restarts with an earlier start than its peers remember. Its frames are
-/// refused, as a replay would be, until the peers forget it; so it is unreachable for at most this long.
-pub const FORGET_MS: u64 = 60_000;
+/// A host that restarts with its clock set back looks like a replay: its frames are rejected until peers forget it.
+pub const SENDER_EXPIRY_MS: u64 = 60_000;
 
-/// What was seen of each sender on one channel.
+/// Tracks the frames received from each sender on one channel.
 ///
-/// Without it, whoever records frames on the wire can send them again: an old probe answer would make a dead
-/// node look alive. The receiver keeps a window of counters a sender, so reordered datagrams pass and
-/// repeated ones do not. Only holders of the key get an entry, so strangers cannot fill the table.
+/// Rejects recorded frames that are sent again, such as an old probe answer of a dead node, and accepts reordered
+/// ones. Must be given authenticated frames only, so that senders without the key cannot fill the table.
 #[derive(Debug, Default)]
-pub struct Replay {
+pub struct ReplayFilter {
     senders: HashMap<NodeId, Window>,
-    swept: Ms,
+    last_sweep: Ms,
 }
 
 #[derive(Debug)]
 struct Window {
     started: u64,
     highest: u64,
-    /// Bit n stands for the counter `highest - n`.
+    /// Bit n is set if the counter `highest - n` was received.
     seen: u64,
-    heard: Ms,
+    last_accepted: Ms,
 }
 
-impl Replay {
-    /// Takes note of one frame.
-    pub fn check(&mut self, now: Ms, from: NodeId, started: u64, counter: u64) -> Seen {
-        self.sweep(now);
-        let fresh = Window {
+impl ReplayFilter {
+    /// Checks one frame and records it.
+    pub fn check(&mut self, now: Ms, from: NodeId, started: u64, counter: u64) -> Freshness {
+        self.evict_expired(now);
+        let initial = Window {
             started,
             highest: counter,
             seen: 1,
-            heard: now,
+            last_accepted: now,
         };
         let Some(window) = self.senders.get_mut(&from) else {
-            self.senders.insert(from, fresh);
-            return Seen::New;
+            self.senders.insert(from, initial);
+            return Freshness::New;
         };
         if started > window.started {
-            *window = fresh;
-            return Seen::New;
+            *window = initial;
+            return Freshness::New;
         }
         if started < window.started {
-            return Seen::Replayed;
+            return Freshness::Replayed;
         }
-        window.note(now, counter)
+        window.record(now, counter)
     }
 
-    /// Senders remembered.
+    /// Returns the number of senders tracked.
     pub fn len(&self) -> usize {
         self.senders.len()
     }
 
-    /// Whether no sender is remembered.
+    /// Returns whether no sender is tracked.
     pub fn is_empty(&self) -> bool {
         self.senders.is_empty()
     }
 
-    fn sweep(&mut self, now: Ms) {
-        if now.since(self.swept) < FORGET_MS / 4 {
+    fn evict_expired(&mut self, now: Ms) {
+        if now.since(self.last_sweep) < SENDER_EXPIRY_MS / 4 {
             return;
         }
-        self.swept = now;
-        self.senders.retain(|_, it| now.since(it.heard) < FORGET_MS);
+        self.last_sweep = now;
+        self.senders
+            .retain(|_, it| now.since(it.last_accepted) < SENDER_EXPIRY_MS);
     }
 }
 
 impl Window {
-    fn note(&mut self, now: Ms, counter: u64) -> Seen {
+    fn record(&mut self, now: Ms, counter: u64) -> Freshness {
         if counter > self.highest {
             let ahead = counter - self.highest;
             self.seen = match ahead < WINDOW {
@@ -95,15 +94,15 @@
             };
             self.seen |= 1;
             self.highest = counter;
-            self.heard = now;
-            return Seen::New;
+            self.last_accepted = now;
+            return Freshness::New;
         }
         let behind = self.highest - counter;
         if behind >= WINDOW || self.seen & (1 << behind) != 0 {
-            return Seen::Replayed;
+            return Freshness::Replayed;
         }
         self.seen |= 1 << behind;
-        self.heard = now;
-        Seen::New
+        self.last_accepted = now;
+        Freshness::New
     }
 }
--- a/crates/edge/src/link/zmq.rs
+++ b/crates/edge/src/link/zmq.rs
@@ -1,8 +1,7 @@
 //! The link over libzmq and UDP.
 //!
-//! [`ZmqLink`] binds one ROUTER socket and opens one DEALER socket to each peer that it sends to. libzmq's
-//! sockets block and belong to one thread: the control thread polls them beside the probe socket and a
-//! wake-up socket.
+//! [`ZmqLink`] binds one ROUTER socket and opens one DEALER socket to each peer that it sends to. libzmq sockets
+//! belong to one thread: the control thread polls them together with the probe socket and a wake-up socket.
 
 use std::{
     collections::HashMap,
@@ -18,39 +17,39 @@
 use super::{
     DATAGRAM_HEADER, FRAME_HEADER, Incoming, Keys, Kind, Link, LinkError, Traffic,
     frame::{self, Channel, FRAME_MAX, Frame, FrameError, PROBE_MAX},
-    replay::{Replay, Seen},
+    replay::{Freshness, ReplayFilter},
 };
 use crate::clock::Clock;
 
-/// Most open connections to peers; the one unused longest is closed first.
+/// Maximum number of open connections to peers; the least recently used one is closed first.
 pub const PEERS_MAX: usize = 64;
 
-/// Frames queued a peer before further ones are dropped.
+/// Maximum number of frames queued per peer; further ones are dropped.
 const QUEUE_MAX: i32 = 256;
-/// Interval in which whoever opened a connection asks whether it still works, in ms. The other end only answers, and
-/// closes it after [`SILENT_MS`] without a question: were both to ask, each open connection would take twice as much.
+/// Interval of the heartbeats that the opener of a connection sends, in ms. The other end only answers them, which
+/// halves the traffic of an idle connection.
 const HEARTBEAT_MS: i32 = 2_000;
-/// Silence after which either end gives a connection up, in ms.
-const SILENT_MS: i32 = 2 * HEARTBEAT_MS;
-/// Connections unused for so long are closed, in ms. Questions and answers on one that idles take some 100 bytes a
-/// second; opening it again takes about 700.
-pub const IDLE_MS: u64 = 8_000;
-/// Interval in which idle connections are looked for, in ms.
-pub const SWEEP_MS: u64 = 1_000;
-/// A peer that is gone is tried again after this, doubling up to [`RECONNECT_MAX_MS`].
+/// Time without a heartbeat or an answer to it after which either end closes the connection, in ms.
+const HEARTBEAT_TIMEOUT_MS: i32 = 2 * HEARTBEAT_MS;
+/// Time after which an unused connection is closed, in ms: its heartbeats soon cost more than opening it again.
+pub const IDLE_TIMEOUT_MS: u64 = 8_000;
+/// Interval between searches for idle connections, in ms.
+pub const SWEEP_INTERVAL_MS: u64 = 1_000;
+/// Delay before the first reconnect to an unreachable peer, in ms; doubles up to [`RECONNECT_MAX_MS`].
 const RECONNECT_MS: i32 = 100;
 const RECONNECT_MAX_MS: i32 = 5_000;
-/// Frames taken in one go, so that a flood of them cannot keep the control thread from its ticks.
-const TAKE_MAX: usize = 256;
+/// Maximum number of frames received from a socket in one call of [`Link::wait`], so that a flood of frames cannot
+/// block the control thread's ticks.
+const RECEIVE_MAX: usize = 256;
 
 /// Wakes a [`ZmqLink`] from another thread.
 #[derive(Clone, Debug)]
 pub struct Waker(Arc<UnixStream>);
 
 impl Waker {
-    /// Makes a present or the next [`Link::wait`] return at once.
+    /// Makes the current or the next [`Link::wait`] return at once.
     pub fn wake(&self) {
-        // A full pipe already holds a wake-up.
+        // Fails if the socket's buffer is full, which means that a wake-up is already pending.
         let _ = (&*self.0).write(&[1]);
     }
 }
@@ -66,26 +65,26 @@
     udp: UdpSocket,
     wake: UnixStream,
     peers: HashMap<NodeId, Peer>,
-    /// When idle connections were last looked for.
-    swept: Ms,
-    messages: Counters,
-    probes: Counters,
+    /// Time of the last search for idle connections.
+    last_sweep: Ms,
+    messages: ChannelState,
+    probes: ChannelState,
     traffic: Traffic,
 }
 
 struct Peer {
     socket: zmq::Socket,
-    used: Ms,
+    last_used: Ms,
 }
 
 #[derive(Default)]
-struct Counters {
+struct ChannelState {
     sent: u64,
-    replay: Replay,
+    replay: ReplayFilter,
 }
 
 impl ZmqLink {
-    /// Binds the TCP and the UDP socket of `own`.
+    /// Binds the TCP and the UDP socket of the address `own`.
     pub fn bind(own: NodeId, keys: Keys, clock: Clock) -> Result<(ZmqLink, Waker), LinkError> {
         let context = zmq::Context::new();
         let router = bind_router(&context, own)?;
@@ -106,41 +105,41 @@
             udp,
             wake,
             peers: HashMap::new(),
-            swept: Ms(0),
-            messages: Counters::default(),
-            probes: Counters::default(),
+            last_sweep: Ms(0),
+            messages: ChannelState::default(),
+            probes: ChannelState::default(),
             traffic: Traffic::default(),
         };
         Ok((link, Waker(Arc::new(waker))))
     }
 
-    /// Closes every socket.
+    /// Closes all sockets.
     pub fn close(self) {
         drop(self);
     }
 
-    /// Open connections to peers, at most [`PEERS_MAX`].
+    /// Returns the number of open connections to peers, at most [`PEERS_MAX`].
     pub fn peers(&self) -> usize {
         self.peers.len()
     }
 
-    fn peer(&mut self, to: NodeId) -> Result<&Peer, zmq::Error> {
-        let used = self.clock.now();
+    fn peer_or_connect(&mut self, to: NodeId) -> Result<&Peer, zmq::Error> {
+        let last_used = self.clock.now();
         if !self.peers.contains_key(&to) {
-            self.make_room();
-            let socket = dial(&self.context, to)?;
-            self.peers.insert(to, Peer { socket, used });
+            self.evict_peer_if_full();
+            let socket = connect_dealer(&self.context, to)?;
+            self.peers.insert(to, Peer { socket, last_used });
         }
         let peer = self.peers.get_mut(&to).ok_or(zmq::Error::ENOTSOCK)?;
-        peer.used = used;
+        peer.last_used = last_used;
         Ok(peer)
     }
 
-    fn make_room(&mut self) {
+    fn evict_peer_if_full(&mut self) {
         if self.peers.len() < PEERS_MAX {
             return;
         }
-        let oldest = self.peers.iter().min_by_key(|(_, it)| it.used);
+        let oldest = self.peers.iter().min_by_key(|(_, it)| it.last_used);
         if let Some(id) = oldest.map(|(id, _)| *id) {
             self.peers.remove(&id);
         }
@@ -148,9 +147,10 @@
 
     fn close_idle(&mut self) {
         let now = self.clock.now();
-        if now.since(self.swept) >= SWEEP_MS {
-            self.swept = now;
-            self.peers.retain(|_, it| now.since(it.used) < IDLE_MS);
+        if now.since(self.last_sweep) >= SWEEP_INTERVAL_MS {
+            self.last_sweep = now;
+            self.peers
+                .retain(|_, it| now.since(it.last_used) < IDLE_TIMEOUT_MS);
         }
     }
 
@@ -160,15 +160,15 @@
         to: NodeId,
         body: T,
     ) -> Result<Vec<u8>, FrameError> {
-        let counters = match channel {
+        let state = match channel {
             Channel::Message => &mut self.messages,
             Channel::Probe => &mut self.probes,
         };
-        counters.sent += 1;
+        state.sent += 1;
         let frame = Frame {
             from: self.own,
             started: self.started,
-            counter: counters.sent,
+            counter: state.sent,
             body,
         };
         frame::seal(&self.keys, channel, to, &frame)
@@ -179,15 +179,15 @@
             self.traffic.strange += 1;
             return None;
         };
-        let counters = match channel {
+        let state = match channel {
             Channel::Message => &mut self.messages,
             Channel::Probe => &mut self.probes,
         };
         let now = self.clock.now();
-        let seen = counters
+        let freshness = state
             .replay
             .check(now, frame.from, frame.started, frame.counter);
-        if seen == Seen::Replayed {
+        if freshness == Freshness::Replayed {
             self.traffic.replayed += 1;
             return None;
         }
@@ -195,12 +195,12 @@
         Some((frame.from, frame.body))
     }
 
-    fn take_messages(&mut self, incoming: &mut Vec<Incoming>) {
-        for _ in 0..TAKE_MAX {
+    fn receive_messages(&mut self, incoming: &mut Vec<Incoming>) {
+        for _ in 0..RECEIVE_MAX {
             let Ok(parts) = self.router.recv_multipart(zmq::DONTWAIT) else {
                 return;
             };
-            // The first part is the connection's identity; a frame of ours is exactly one more.
+            // The first part is the connection's identity; a valid message has exactly one more part.
             let [_, bytes] = &parts[..] else {
                 self.traffic.strange += 1;
                 continue;
@@ -213,10 +213,10 @@
         }
     }
 
-    fn take_probes(&mut self, incoming: &mut Vec<Incoming>) {
-        // One byte more than allowed, so that a larger datagram is seen to be too large.
+    fn receive_probes(&mut self, incoming: &mut Vec<Incoming>) {
+        // One byte longer than allowed, to detect datagrams that are too large.
         let mut buffer = [0; PROBE_MAX + 1];
-        for _ in 0..TAKE_MAX {
+        for _ in 0..RECEIVE_MAX {
             match self.udp.recv_from(&mut buffer) {
                 Ok((len, _)) if len > PROBE_MAX => self.traffic.strange += 1,
                 Ok((len, _)) => {
@@ -226,13 +226,13 @@
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // A datagram of ours that a closed port refused shows up here; the next read goes on.
+                // Such as the ICMP error for an earlier datagram to a closed port; the next read proceeds.
                 Err(_) => {}
             }
         }
     }
 
-    fn drain_wake(&mut self) {
+    fn drain_wakeups(&mut self) {
         let mut buffer = [0; 64];
         while matches!(self.wake.read(&mut buffer), Ok(len) if len == buffer.len()) {}
     }
@@ -259,17 +259,17 @@
     Ok(udp)
 }
 
-fn dial(context: &zmq::Context, to: NodeId) -> Result<zmq::Socket, zmq::Error> {
+fn connect_dealer(context: &zmq::Context, to: NodeId) -> Result<zmq::Socket, zmq::Error> {
     let socket = context.socket(zmq::DEALER)?;
     socket.set_linger(0)?;
     socket.set_ipv6(to.0.is_ipv6())?;
     socket.set_sndhwm(QUEUE_MAX)?;
-    // Nobody sends towards a DEALER of ours; whatever comes is bounded and never read.
+    // Peers never send over this connection; anything that arrives is bounded and never read.
     socket.set_rcvhwm(1)?;
     socket.set_maxmsgsize(FRAME_MAX as i64)?;
     socket.set_heartbeat_ivl(HEARTBEAT_MS)?;
-    socket.set_heartbeat_timeout(SILENT_MS)?;
-    socket.set_heartbeat_ttl(SILENT_MS)?;
+    socket.set_heartbeat_timeout(HEARTBEAT_TIMEOUT_MS)?;
+    socket.set_heartbeat_ttl(HEARTBEAT_TIMEOUT_MS)?;
     socket.set_reconnect_ivl(RECONNECT_MS)?;
     socket.set_reconnect_ivl_max(RECONNECT_MAX_MS)?;
     socket.connect(&format!("tcp://{to}"))?;
@@ -284,7 +284,7 @@
         };
         let len = bytes.len() as u64;
         let sent = self
-            .peer(to)
+            .peer_or_connect(to)
             .and_then(|it| it.socket.send(bytes, zmq::DONTWAIT));
         match sent {
             Ok(()) => self.traffic.sent[Kind::of(message) as usize] += len + FRAME_HEADER,
@@ -309,13 +309,13 @@
             zmq::PollItem::from_fd(self.udp.as_raw_fd(), zmq::POLLIN),
             zmq::PollItem::from_fd(self.wake.as_raw_fd(), zmq::POLLIN),
         ];
-        // An interrupted poll is an early return; the caller waits again.
+        // An interrupted poll only returns early; the caller waits again.
         let _ = zmq::poll(&mut items, timeout as i64);
         let mut incoming = Vec::new();
         self.close_idle();
-        self.drain_wake();
-        self.take_messages(&mut incoming);
-        self.take_probes(&mut incoming);
+        self.drain_wakeups();
+        self.receive_messages(&mut incoming);
+        self.receive_probes(&mut incoming);
         incoming
     }
 
--- a/crates/edge/src/memory.rs
+++ b/crates/edge/src/memory.rs
@@ -1,4 +1,4 @@
-//! A platform inside the process; nothing in it outlives the process.
+//! A platform in memory, for tests and for single nodes. Its content is lost when the process ends.
 
 use std::{
     collections::BTreeMap,
@@ -12,7 +12,7 @@
 
 use crate::platform::{Answer, Platform};
 
-/// The platform kept in memory.
+/// A platform that keeps its table and objects in memory.
 #[derive(Debug, Default)]
 pub struct Memory {
     store: Mutex<Store>,
@@ -21,13 +21,13 @@
 #[derive(Debug, Default)]
 struct Store {
     rows: BTreeMap<String, Row>,
-    /// Last version that each deleted key had, so that its next version is higher.
+    /// Last version of each deleted key; if the key is written again, its version continues from there.
     deleted: BTreeMap<String, u64>,
     objects: BTreeMap<String, Vec<u8>>,
 }
 
 impl Memory {
-    /// Carries out one operation on the table at once.
+    /// Executes one operation on the table synchronously.
     pub fn table_now(&self, op: &TableOp) -> TableAnswer {
         let mut store = self.lock();
         match op {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Carries out one operation on the object store at once.
+    /// Executes one operation on the object store synchronously.
     pub fn object_now(&self, op: ObjectOp) -> ObjectAnswer {
         let mut store = self.lock();
         match op {
@@ -127,7 +127,7 @@
     }
 }
 
-/// The limits that the platform itself has, so that what is too large fails in tests too.
+/// Enforces the size limits of the real platform, so that tests fail on commits that it would reject.
 fn check_size(checks: &[Check], writes: &[Write]) -> Result<(), String> {
     let items = checks.len() + writes.len();
     if items > COMMIT_MAX {
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -1,24 +1,25 @@
-//! The platform's table and object store.
+//! Interface of the platform: a transactional table and an object store.
 
 use std::{future::Future, pin::Pin};
 
 use laburnum_kernel::platform::{Era, ObjectAnswer, ObjectOp, TableAnswer, TableOp};
 
-/// An answer that is on its way.
+/// The future of an answer from the platform.
 pub type Answer<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// The platform's transactional table and its object store.
 ///
-/// An answer always comes: adapters turn a lost connection or a timeout into a
+/// Every call completes: adapters report a lost connection or a timeout as a
 /// [`laburnum_kernel::platform::Fault`].
 pub trait Platform: Send + Sync + 'static {
-    /// Carries out one operation on the table.
+    /// Executes one operation on the table.
     fn table(&self, op: TableOp) -> Answer<'_, TableAnswer>;
 
-    /// Carries out one operation on the object store.
+    /// Executes one operation on the object store.
     fn object(&self, op: ObjectOp) -> Answer<'_, ObjectAnswer>;
 
-    /// The era of the newest answer so far; `None` from platforms that do not tell, or before the first answer.
+    /// Returns the era of the newest answer; `None` before the first answer, and for platforms that do not report
+    /// an era.
     fn era(&self) -> Option<Era> {
         None
     }
--- a/crates/edge/tests/link.rs
+++ b/crates/edge/tests/link.rs
@@ -1,4 +1,4 @@
-//! Contract of the link: sealed frames, strangers, replays, bounds; over real sockets on loopback.
+//! Tests of the link over loopback sockets: authentication, replay protection, size limits and idle connections.
 
 use std::{
     io::{Read, Write},
@@ -8,9 +8,9 @@
 use laburnum_edge::{
     Clock, Incoming, Link,
     link::{
-        IDLE_MS, Key, Keys, SWEEP_MS, ZmqLink,
+        IDLE_TIMEOUT_MS, Key, Keys, SWEEP_INTERVAL_MS, ZmqLink,
         frame::{self, Channel, FRAME_MAX, Frame, FrameError},
-        replay::{FORGET_MS, Replay, Seen},
+        replay::{Freshness, ReplayFilter, SENDER_EXPIRY_MS},
     },
 };
 use laburnum_kernel::{Message, Ms, NodeId, SubmitId, accept};
@@ -21,7 +21,7 @@
     NodeId(SocketAddr::from(([127, 0, 0, 1], port)))
 }
 
-fn free() -> NodeId {
+fn free_address() -> NodeId {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     NodeId(listener.local_addr().expect("an address"))
 }
@@ -46,7 +46,7 @@
 }
 
 /// Waits for one message, sending none.
-fn next(link: &mut ZmqLink) -> Incoming {
+fn receive_one(link: &mut ZmqLink) -> Incoming {
     loop {
         if let Some(incoming) = link.wait(1_000).into_iter().next() {
             return incoming;
@@ -54,35 +54,37 @@
     }
 }
 
-/// Waits until the link has refused `count` frames as strange.
-fn until_strange(link: &mut ZmqLink, count: u64) {
+/// Waits until the link has rejected `count` frames that failed authentication.
+fn wait_for_rejected(link: &mut ZmqLink, count: u64) {
     while link.traffic().strange < count {
-        assert!(link.wait(1_000).is_empty(), "a stranger's frame was taken");
+        assert!(
+            link.wait(1_000).is_empty(),
+            "an unauthenticated frame was accepted"
+        );
     }
 }
 
-/// A node of a large fleet speaks with other members now and then, another one each time. Each connection that stays open
-/// takes questions and answers for ever; over some dozen of them that is most of what an idle node sends.
+/// Guards against unused connections that stay open: their heartbeats would dominate the traffic of an idle node.
 #[test]
-fn connections_that_nobody_uses_are_closed() {
+fn idle_connections_are_closed() {
     let clock = Clock::manual(Ms(1_000));
-    let (own, one, other) = (free(), free(), free());
+    let (own, one, other) = (free_address(), free_address(), free_address());
     let mut sender = ZmqLink::bind(own, Keys::default(), clock.clone());
     let sender = &mut sender.as_mut().expect("the link binds").0;
     sender.send(one, &message("hello"));
     sender.send(other, &message("hello"));
-    clock.advance(IDLE_MS - 1);
+    clock.advance(IDLE_TIMEOUT_MS - 1);
     sender.send(other, &message("hello"));
     sender.wait(0);
     assert_eq!(sender.peers(), 2);
-    clock.advance(SWEEP_MS);
+    clock.advance(SWEEP_INTERVAL_MS);
     sender.wait(0);
-    assert_eq!(sender.peers(), 1, "the one used of late stays");
+    assert_eq!(sender.peers(), 1, "the recently used connection stays open");
 }
 
 #[test]
-fn messages_arrive_whole_and_name_their_sender() {
-    let (lhs, rhs) = (free(), free());
+fn message_arrives_whole_with_its_sender() {
+    let (lhs, rhs) = (free_address(), free_address());
     let mut sender = link(lhs, Keys::default());
     let mut receiver = link(rhs, Keys::default());
     sender.send(rhs, &message("hello"));
@@ -90,74 +92,72 @@
         from: lhs,
         message: message("hello"),
     };
-    assert_eq!(next(&mut receiver), wanted);
+    assert_eq!(receive_one(&mut receiver), wanted);
     assert_eq!(
         sender.traffic().sent_total(),
         receiver.traffic().received_total()
     );
 }
 
-/// Rotation: the sender already seals with the new key while the receiver still seals with the old one.
-/// Both accept both, so nothing is lost in either direction; a third node with neither key is refused.
+/// Guards against lost messages between a node that already seals with the new key and one that still seals with
+/// the old one.
 #[test]
 fn two_keys_are_accepted_during_rotation() {
-    let (lhs, rhs, third) = (free(), free(), free());
+    let (lhs, rhs, third) = (free_address(), free_address(), free_address());
     let mut new = link(lhs, Keys::new(key(2)).accepting(key(1)));
     let mut old = link(rhs, Keys::new(key(1)).accepting(key(2)));
-    let mut stranger = link(third, Keys::new(key(3)));
+    let mut outsider = link(third, Keys::new(key(3)));
     new.send(rhs, &message("new to old"));
-    assert!(matches!(next(&mut old), Incoming::Message { from, .. } if from == lhs));
+    assert!(matches!(receive_one(&mut old), Incoming::Message { from, .. } if from == lhs));
     old.send(lhs, &message("old to new"));
-    assert!(matches!(next(&mut new), Incoming::Message { from, .. } if from == rhs));
-    stranger.send(lhs, &message("stranger"));
-    until_strange(&mut new, 1);
+    assert!(matches!(receive_one(&mut new), Incoming::Message { from, .. } if from == rhs));
+    outsider.send(lhs, &message("stranger"));
+    wait_for_rejected(&mut new, 1);
 }
 
-/// A stranger connects, claims a frame of 2^40 bytes in nine bytes and waits. Without a bound the process
-/// allocates them and may abort; where that allocation fails libzmq hangs up by itself, so a claim of one
-/// byte too many is tried too. The connection is closed at once and the next peer is served.
+/// Guards against a frame header that announces an oversized frame and makes the process allocate it. libzmq closes
+/// the connection by itself if a huge allocation fails, so the smallest length above the limit is tested too.
 #[test_case(1 << 40; "a terabyte")]
 #[test_case(FRAME_MAX as u64 + 1; "one byte too many")]
-fn frame_header_beyond_the_bound_closes_only_its_connection(claimed: u64) {
-    let (own, peer) = (free(), free());
+fn oversized_frame_header_closes_its_connection(claimed: u64) {
+    let (own, peer) = (free_address(), free_address());
     let mut receiver = link(own, Keys::default());
-    let mut stranger = TcpStream::connect(own.0).expect("connects");
+    let mut outsider = TcpStream::connect(own.0).expect("connects");
     // Greeting of ZMTP 3.0 with the NULL mechanism, then a READY command of a DEALER.
     let mut greeting = vec![0xff, 0, 0, 0, 0, 0, 0, 0, 1, 0x7f, 3, 0];
     greeting.extend_from_slice(b"NULL");
     greeting.resize(64, 0);
-    stranger.write_all(&greeting).expect("writes");
+    outsider.write_all(&greeting).expect("writes");
     let ready = b"\x04\x1c\x05READY\x0bSocket-Type\x00\x00\x00\x06DEALER";
-    stranger.write_all(ready).expect("writes");
+    outsider.write_all(ready).expect("writes");
     let mut claim = vec![0x02];
     claim.extend_from_slice(&claimed.to_be_bytes());
-    stranger.write_all(&claim).expect("writes");
+    outsider.write_all(&claim).expect("writes");
     let mut rest = Vec::new();
-    // Ends when the other side closes.
-    let _ = stranger.read_to_end(&mut rest);
-    // A connection that stays open is asked for a sign of life before it is given up.
+    // Returns when the other side closes the connection.
+    let _ = outsider.read_to_end(&mut rest);
+    // An open connection would receive a heartbeat before it is closed.
     assert!(!rest.windows(4).any(|it| it == b"PING"), "still open");
     let mut sender = link(peer, Keys::default());
     sender.send(own, &message("next"));
-    assert!(matches!(next(&mut receiver), Incoming::Message { from, .. } if from == peer));
+    assert!(matches!(receive_one(&mut receiver), Incoming::Message { from, .. } if from == peer));
 }
 
-/// A stranger sends datagrams of noise, and one of a right size with a wrong tag. Each is counted and none
-/// reaches the kernel.
+/// Guards against datagrams without a valid tag, short, full-sized or oversized, that reach the kernel.
 #[test]
-fn strange_datagrams_are_counted_and_dropped() {
-    let own = free();
+fn invalid_datagrams_are_counted_and_dropped() {
+    let own = free_address();
     let mut receiver = link(own, Keys::new(key(1)));
     let socket = UdpSocket::bind("127.0.0.1:0").expect("binds");
     socket.send_to(&[0; 3], own.0).expect("sends");
     socket.send_to(&[7; 1400], own.0).expect("sends");
     socket.send_to(&[7; 3000], own.0).expect("sends");
-    until_strange(&mut receiver, 3);
+    wait_for_rejected(&mut receiver, 3);
 }
 
 #[test]
 fn oversized_message_is_dropped_and_counted() {
-    let (lhs, rhs) = (free(), free());
+    let (lhs, rhs) = (free_address(), free_address());
     let mut sender = link(lhs, Keys::default());
     sender.send(rhs, &message(&"x".repeat(FRAME_MAX)));
     assert_eq!(sender.traffic().unsent, 1);
@@ -173,15 +173,10 @@
     }
 }
 
-#[test_case(Channel::Probe, node(2), key(1), FrameError::Strange; "other channel")]
-#[test_case(Channel::Message, node(3), key(1), FrameError::Strange; "other receiver")]
-#[test_case(Channel::Message, node(2), key(9), FrameError::Strange; "other key")]
-fn frame_opens_only_where_it_was_meant_to(
-    channel: Channel,
-    own: NodeId,
-    with: Key,
-    error: FrameError,
-) {
+#[test_case(Channel::Probe, node(2), key(1), FrameError::BadTag; "other channel")]
+#[test_case(Channel::Message, node(3), key(1), FrameError::BadTag; "other receiver")]
+#[test_case(Channel::Message, node(2), key(9), FrameError::BadTag; "other key")]
+fn frame_opens_only_at_its_receiver(channel: Channel, own: NodeId, with: Key, error: FrameError) {
     let keys = Keys::new(key(1));
     let bytes = frame::seal(&keys, Channel::Message, node(2), &frame(1)).expect("seals");
     let opened = frame::open::<String>(&keys, Channel::Message, node(2), &bytes);
@@ -196,47 +191,46 @@
 #[test_case(&[100, 36], &[1]; "older than the window")]
 #[test_case(&[100, 37, 37], &[2]; "edge of the window, then doubled")]
 #[test_case(&[1, 1_000_000, 1], &[2]; "long gap, then an old one")]
-fn replay_window(counters: &[u64], refused: &[usize]) {
-    let mut replay = Replay::default();
+fn replayed_counters_are_rejected(counters: &[u64], refused: &[usize]) {
+    let mut replay = ReplayFilter::default();
     for (idx, counter) in counters.iter().enumerate() {
         let seen = replay.check(Ms(1), node(1), 5, *counter);
         let wanted = match refused.contains(&idx) {
-            true => Seen::Replayed,
-            false => Seen::New,
+            true => Freshness::Replayed,
+            false => Freshness::New,
         };
         assert_eq!(seen, wanted, "counter {counter}");
     }
 }
 
-/// A host restarts with its clock set back: its frames look like a replay of an earlier process. They are
-/// refused until the peer forgets the later one, and then taken, so the host is not shut out for good.
+/// Guards against locking out for good a host that restarts with its clock set back: its frames look like a replay.
 #[test]
-fn earlier_start_is_refused_until_forgotten() {
-    let mut replay = Replay::default();
-    assert_eq!(replay.check(Ms(1), node(1), 50, 9), Seen::New);
-    assert_eq!(replay.check(Ms(2), node(1), 40, 1), Seen::Replayed);
-    assert_eq!(replay.check(Ms(3), node(1), 60, 1), Seen::New);
-    let later = Ms(3) + FORGET_MS;
-    assert_eq!(replay.check(later, node(1), 40, 1), Seen::New);
+fn earlier_start_is_rejected_until_expiry() {
+    let mut replay = ReplayFilter::default();
+    assert_eq!(replay.check(Ms(1), node(1), 50, 9), Freshness::New);
+    assert_eq!(replay.check(Ms(2), node(1), 40, 1), Freshness::Replayed);
+    assert_eq!(replay.check(Ms(3), node(1), 60, 1), Freshness::New);
+    let later = Ms(3) + SENDER_EXPIRY_MS;
+    assert_eq!(replay.check(later, node(1), 40, 1), Freshness::New);
 }
 
 proptest! {
     #[test]
-    fn damaged_frames_never_open(at in 0_usize..64, bit in 0_u8..8) {
+    fn damaged_frame_never_opens(at in 0_usize..64, bit in 0_u8..8) {
         let keys = Keys::new(key(1));
         let mut bytes = frame::seal(&keys, Channel::Message, node(2), &frame(1)).expect("seals");
         let at = at % bytes.len();
         bytes[at] ^= 1 << bit;
         let opened = frame::open::<String>(&keys, Channel::Message, node(2), &bytes);
-        prop_assert_eq!(opened, Err(FrameError::Strange));
+        prop_assert_eq!(opened, Err(FrameError::BadTag));
     }
 
     #[test]
-    fn noise_sealed_with_the_key_is_malformed_or_reads(noise in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn sealed_noise_does_not_panic(noise in proptest::collection::vec(any::<u8>(), 0..300)) {
         let keys = Keys::new(key(1));
         let body = Frame { from: node(1), started: 1, counter: 1, body: noise };
         let bytes = frame::seal(&keys, Channel::Message, node(2), &body).expect("seals");
-        // The body is a byte string, not a message: reading it as one must fail or stop, never panic.
+        // The body is a byte string: decoding it as a message may fail but must not panic.
         let _ = frame::open::<Message>(&keys, Channel::Message, node(2), &bytes);
     }
 }
--- a/crates/node/examples/added_latency.rs
+++ b/crates/node/examples/added_latency.rs
@@ -1,7 +1,7 @@
-//! Measures what the request path adds to a request: `cargo run --release -p laburnum-node --example added_latency`.
+//! Measures the latency that nodes add to a request: `cargo run --release -p laburnum-node --example added_latency`.
 //!
-//! One upstream answers at once. It is asked directly, through its own node (entry and owner in one process)
-//! and through another node (entry, HTTP/2, owner), first by one caller at a time and then by many.
+//! Sends requests to an upstream that answers at once: directly, through its own node, and through a second node that
+//! forwards them to the first; with one caller and then with several.
 
 use std::{
     net::SocketAddr,
@@ -28,13 +28,13 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const DOCUMENT: &str = include_str!("../tests/data/desk.toml");
-/// Length of one measurement.
-const MEASURED: Duration = Duration::from_secs(3);
-/// Longest wait for the nodes to be ready.
-const START: Duration = Duration::from_secs(30);
-/// Callers at once in the second round; fewer than the upstream's slots.
+/// Duration of one measurement.
+const MEASURE_TIME: Duration = Duration::from_secs(3);
+/// Timeout for the nodes to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Concurrent callers in the second round; fewer than the upstream's slots.
 const CALLERS: usize = 16;
-/// Slots of the upstream.
+/// Number of requests that the upstream handles concurrently.
 const SLOTS: u16 = 64;
 
 #[tokio::main(flavor = "multi_thread", worker_threads = 4)]
@@ -46,15 +46,15 @@
     let announcing = tokio::spawn(announce(owner.upstream().clone(), upstream));
     submit(&owner).await;
     for node in [&owner, &entry] {
-        serving(node).await;
+        wait_until_ready(node).await;
     }
-    let ways = [
+    let routes = [
         ("direct", upstream),
         ("own node", owner_config.caller),
         ("two nodes", entry_config.caller),
     ];
     for callers in [1, CALLERS] {
-        for (name, address) in ways {
+        for (name, address) in routes {
             measure(name, address, callers).await;
         }
     }
@@ -64,19 +64,19 @@
 }
 
 async fn measure(name: &str, address: SocketAddr, callers: usize) {
-    let busy = cpu();
+    let cpu_before = cpu_time();
     let start = Instant::now();
     let running: Vec<_> = (0..callers)
-        .map(|_| tokio::spawn(caller(address, start + MEASURED)))
+        .map(|_| tokio::spawn(caller(address, start + MEASURE_TIME)))
         .collect();
     let mut times = Vec::new();
     for it in running {
         times.extend(it.await.expect("the caller runs"));
     }
-    let cores = (cpu() - busy).as_secs_f64() / start.elapsed().as_secs_f64();
+    let cores = (cpu_time() - cpu_before).as_secs_f64() / start.elapsed().as_secs_f64();
     times.sort_unstable();
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize].as_micros();
-    let rate = times.len() as f64 / MEASURED.as_secs_f64();
+    let rate = times.len() as f64 / MEASURE_TIME.as_secs_f64();
     println!(
         "event=measured way={name:?} callers={callers} requests={} p50_us={} p99_us={} rate={rate:.0} cores={cores:.2} cpu_us={:.1}",
         times.len(),
@@ -107,11 +107,11 @@
     times
 }
 
-/// Processor time of this process: callers, nodes and upstream together.
-fn cpu() -> Duration {
+/// Returns the CPU time of this process: callers, nodes and upstream together.
+fn cpu_time() -> Duration {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat.rsplit(") ").next().unwrap_or_default().split(' ');
-    // utime and stime are fields 14 and 15 of the line, in hundredths of a second.
+    // utime and stime are fields 14 and 15 of the line, in ticks of 10 ms.
     let ticks: u64 = fields
         .skip(11)
         .take(2)
@@ -147,10 +147,10 @@
     (node.expect("the node starts"), config)
 }
 
-/// Announces the upstream each second, as upstreams do: one that falls silent is taken for gone.
-async fn announce(beside: Upstream, address: SocketAddr) {
+/// Announces the upstream each second; a node takes an upstream without announcements for gone.
+async fn announce(upstream: Upstream, address: SocketAddr) {
     loop {
-        let announced = beside.announce(Announcement {
+        let announced = upstream.announce(Announcement {
             service: "desk".parse().expect("a name"),
             address,
             slots: SLOTS,
@@ -161,11 +161,11 @@
     }
 }
 
-/// Waits until `node` caught up and knows a ready endpoint of the service; before that it refuses requests.
-async fn serving(node: &Node) {
+/// Waits until `node` has caught up and knows a ready endpoint of the service; before that it refuses requests.
+async fn wait_until_ready(node: &Node) {
     let name = "desk".parse().expect("a name");
-    let begun = Instant::now();
-    while begun.elapsed() < START {
+    let start = Instant::now();
+    while start.elapsed() < START_TIMEOUT {
         let view = node.control().view();
         let mut endpoints = view.services.get(&name).into_iter();
         if view.ready && endpoints.any(|it| it.endpoints.iter().any(|it| it.phase == Phase::Ready))
@@ -174,7 +174,7 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("a node is not ready within {START:?}");
+    panic!("a node is not ready within {START_TIMEOUT:?}");
 }
 
 async fn submit(node: &Node) {
--- a/crates/node/examples/memory.rs
+++ b/crates/node/examples/memory.rs
@@ -1,9 +1,8 @@
-//! What nodes at rest cost a machine: memory, threads and processor time.
+//! Measures the memory, threads and CPU time of idle nodes, including the in-memory platform.
 //!
-//! `cargo run --release -p laburnum-node --example memory -- [nodes] [documents]` starts so many nodes (default: 1)
-//! in this process over loopback, with a small number of documents of about 2 KB (default: 0), lets them
-//! settle, and prints what the process takes at rest. One run a size: memory that was given back would hide
-//! the next size's growth. The embedded platform's memory is counted too.
+//! `cargo run --release -p laburnum-node --example memory -- [nodes] [documents]` starts that many nodes (default: 1)
+//! in this process, with that many documents of about 2 KB (default: 0). Use one run per size, because freed memory
+//! would hide the growth of the next size.
 
 use std::{
     net::SocketAddr,
@@ -21,10 +20,10 @@
 use tokio::{net::TcpListener, task::JoinSet};
 
 const DOCUMENT: &str = include_str!("../../../examples/nile/drafting-desk.toml");
-/// Until the nodes know each other and hold every document, at most.
-const SETTLE: Duration = Duration::from_secs(40);
-/// Length of the measurement.
-const MEASURED: Duration = Duration::from_secs(15);
+/// Timeout until every node holds every document.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(40);
+/// Duration of the measurement.
+const MEASURE_TIME: Duration = Duration::from_secs(15);
 
 #[tokio::main(flavor = "multi_thread", worker_threads = 2)]
 async fn main() {
@@ -47,9 +46,9 @@
         submit(&nodes[0], number).await;
     }
     let settled = settle(&nodes, documents).await;
-    let (begun, spent) = (Instant::now(), cpu());
-    tokio::time::sleep(MEASURED).await;
-    let share = (cpu() - spent).as_secs_f64() / begun.elapsed().as_secs_f64();
+    let (start, cpu_before) = (Instant::now(), cpu_time());
+    tokio::time::sleep(MEASURE_TIME).await;
+    let share = (cpu_time() - cpu_before).as_secs_f64() / start.elapsed().as_secs_f64();
     let (resident_kb, threads) = resident();
     let all = count as f64;
     println!(
@@ -65,14 +64,14 @@
     closing.join_all().await;
 }
 
-/// Whether every node holds every document within [`SETTLE`], and each has caught up.
+/// Returns whether every node holds every document within [`SETTLE_TIMEOUT`], after waiting for gossip to end.
 async fn settle(nodes: &[Node], documents: usize) -> bool {
-    let begun = Instant::now();
-    while begun.elapsed() < SETTLE {
+    let start = Instant::now();
+    while start.elapsed() < SETTLE_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(500)).await;
         let holds = |it: &Node| it.control().view().services.len() == documents;
         if nodes.iter().all(holds) {
-            // Members are still told of for a while after the last one joined.
+            // Gossip about members continues for a while after the last one joined.
             tokio::time::sleep(Duration::from_secs(10)).await;
             return true;
         }
@@ -82,17 +81,17 @@
 
 async fn config(number: usize, peers: Vec<SocketAddr>) -> Config {
     Config {
-        caller: free().await,
-        control: free().await,
-        traffic: free().await,
-        admin: free().await,
+        caller: free_address().await,
+        control: free_address().await,
+        traffic: free_address().await,
+        admin: free_address().await,
         zone: format!("zone-{}", number % 3),
         peers,
         ..Config::default()
     }
 }
 
-async fn free() -> SocketAddr {
+async fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await;
     let address = listener.and_then(|it| it.local_addr());
     address.expect("a free port")
@@ -125,7 +124,7 @@
     assert!(accepted, "{reply:?}");
 }
 
-/// Resident memory in KB and threads of this process.
+/// Returns the resident memory in KB and the number of threads of this process.
 fn resident() -> (u64, u64) {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let field = |name: &str| -> Option<u64> {
@@ -138,11 +137,11 @@
     )
 }
 
-/// Processor time of this process.
-fn cpu() -> Duration {
+/// Returns the CPU time of this process.
+fn cpu_time() -> Duration {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat.rsplit(") ").next().unwrap_or_default().split(' ');
-    // utime and stime are fields 14 and 15 of the line, in hundredths of a second.
+    // utime and stime are fields 14 and 15 of the line, in ticks of 10 ms.
     let ticks = fields
         .skip(11)
         .take(2)
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' and the upstream's API of a node; [`laburnum_edge::api`] lists it.
+//! HTTP API of a node for operators and for the upstream beside it; [`laburnum_edge::api`] lists its paths.
 
 mod body;
 mod operators;
@@ -29,47 +29,47 @@
     upstream::Upstream,
 };
 
-/// What the API needs.
+/// The API with what it depends on.
 #[derive(Clone, Debug)]
 pub struct Admin {
-    /// The control thread.
+    /// Handle to the control thread.
     pub control: Control,
     /// The upstream beside this node.
     pub upstream: Upstream,
     /// The metrics of this node.
     pub metrics: Metrics,
-    /// Bounds on requests.
+    /// Limits on requests.
     pub bounds: Bounds,
-    /// Who may ask for what. Default: anybody.
+    /// Authorization of requests. Default: everything is allowed.
     pub guard: Guard,
 }
 
-/// Bounds on the API's requests.
+/// Limits on the API's requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Longest request body in bytes. Default: [`api::BODY_MAX`].
-    pub body: usize,
-    /// Longest time that a request body may take to arrive. Default: 10 s.
-    pub arrival: Duration,
-    /// Longest time that the control thread may take to answer. Default: 15 s.
-    pub answer: Duration,
-    /// Most operators' requests at once; more wait. Default: 64.
-    pub requests: usize,
+    /// Maximum length of a request body in bytes. Default: [`api::BODY_MAX`].
+    pub max_body: usize,
+    /// Timeout for receiving a request body. Default: 10 s.
+    pub body_timeout: Duration,
+    /// Timeout for a reply of the control thread. Default: 15 s.
+    pub reply_timeout: Duration,
+    /// Maximum number of concurrent operators' requests; further ones wait. Default: 64.
+    pub max_requests: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Bounds {
         Bounds {
-            body: api::BODY_MAX,
-            arrival: Duration::from_secs(10),
-            answer: Duration::from_secs(15),
-            requests: 64,
+            max_body: api::BODY_MAX,
+            body_timeout: Duration::from_secs(10),
+            reply_timeout: Duration::from_secs(15),
+            max_requests: 64,
         }
     }
 }
 
 impl Admin {
-    /// An API with the default bounds.
+    /// Creates an API with the default limits and no authorization.
     pub fn new(control: Control, upstream: Upstream, metrics: Metrics) -> Admin {
         let bounds = Bounds::default();
         Admin {
@@ -81,11 +81,11 @@
         }
     }
 
-    /// Serves the API.
+    /// Returns the router that serves the API.
     pub fn router(self) -> Router {
-        // Without a bound, a script that submits a quarter's changes at once holds a body each in memory.
-        // The upstream and the probes of the node's host stay outside, so that operators cannot starve them.
-        let limit = GlobalConcurrencyLimitLayer::new(self.bounds.requests);
+        // Bounds the request bodies in memory. The limit does not cover the upstream and the host's probes, so that
+        // operators cannot starve them.
+        let limit = GlobalConcurrencyLimitLayer::new(self.bounds.max_requests);
         Router::new()
             .route("/v1/submissions", post(operators::submit))
             .route("/v1/submissions/{id}", get(operators::outcome))
@@ -105,17 +105,17 @@
                 "/v1/upstream",
                 put(upstream::announce).delete(upstream::withdraw),
             )
-            .fallback(|| async { Refusal::Path })
-            .method_not_allowed_fallback(|| async { Refusal::Method })
-            // Outermost and over every path: no body is read for a stranger, and none of the places above taken.
+            .fallback(|| async { Refusal::UnknownPath })
+            .method_not_allowed_fallback(|| async { Refusal::UnknownMethod })
+            // Outermost and on every path: an unauthorized request takes no permit, and its body is not read.
             .layer(from_fn_with_state(self.guard.clone(), authorize))
             .with_state(self)
     }
 
-    /// Asks the kernel.
-    async fn ask(&self, call: Call) -> Result<Reply, Refusal> {
-        let answer = tokio::time::timeout(self.bounds.answer, self.control.call(call));
-        Ok(answer.await.map_err(|_| Refusal::Late)??)
+    /// Sends a call to the kernel and waits for the reply.
+    async fn call(&self, call: Call) -> Result<Reply, Refusal> {
+        let reply = tokio::time::timeout(self.bounds.reply_timeout, self.control.call(call));
+        Ok(reply.await.map_err(|_| Refusal::ReplyTimeout)??)
     }
 }
 
@@ -137,7 +137,7 @@
     let view = admin.control.view();
     match view.ready {
         true => format!("ok seq={}\n", view.seq).into_response(),
-        false => Refusal::Unready.into_response(),
+        false => Refusal::NotReady.into_response(),
     }
 }
 
@@ -146,8 +146,7 @@
     match admin.metrics.text() {
         Ok(text) => (content, text).into_response(),
         Err(error) => {
-            let text =
-                format!("cannot write the metrics: {error}; ask again, or update the node\n");
+            let text = format!("cannot encode the metrics: {error}; retry, or update the node\n");
             (StatusCode::INTERNAL_SERVER_ERROR, text).into_response()
         }
     }
@@ -157,5 +156,5 @@
 type Segment = Result<Path<String>, PathRejection>;
 
 fn segment(path: Segment) -> Result<String, Refusal> {
-    path.map(|Path(it)| it).map_err(|_| Refusal::Segment)
+    path.map(|Path(it)| it).map_err(|_| Refusal::InvalidPath)
 }
--- a/crates/node/src/admin/body.rs
+++ b/crates/node/src/admin/body.rs
@@ -1,4 +1,4 @@
-//! Request bodies in JSON, bounded in length and time.
+//! Extraction of JSON request bodies, limited in length and time.
 
 use axum::{
     extract::{FromRequest, Request},
@@ -9,37 +9,38 @@
 
 use super::{Admin, Refusal};
 
-/// A body read whole and decoded.
+/// A decoded JSON request body.
 ///
-/// A caller that never ends its body, or ends it too late, would otherwise hold memory and one of the API's
-/// places for good; the bounds give both back.
-pub struct Bounded<T>(pub T);
+/// The limits on length and time keep a slow or endless body from holding memory and a request permit for good.
+pub struct JsonBody<T>(pub T);
 
-impl<T: DeserializeOwned> FromRequest<Admin> for Bounded<T> {
+impl<T: DeserializeOwned> FromRequest<Admin> for JsonBody<T> {
     type Rejection = Refusal;
 
-    async fn from_request(request: Request, admin: &Admin) -> Result<Bounded<T>, Refusal> {
+    async fn from_request(request: Request, admin: &Admin) -> Result<JsonBody<T>, Refusal> {
         let bounds = admin.bounds;
-        let max = bounds.body;
+        let max = bounds.max_body;
         check_type(request.headers())?;
         check_length(request.headers(), max)?;
         let body = Limited::new(request.into_body(), max).collect();
-        let bytes = match tokio::time::timeout(bounds.arrival, body).await {
+        let bytes = match tokio::time::timeout(bounds.body_timeout, body).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(Refusal::Long { max }),
-            Ok(Err(_)) => return Err(Refusal::Broken),
+            Ok(Err(error)) if error.is::<LengthLimitError>() => {
+                return Err(Refusal::BodyTooLong { max });
+            }
+            Ok(Err(_)) => return Err(Refusal::BodyTruncated),
             Err(_) => {
-                let millis = bounds.arrival.as_millis();
-                return Err(Refusal::Slow { millis });
+                let millis = bounds.body_timeout.as_millis();
+                return Err(Refusal::BodyTimeout { millis });
             }
         };
         serde_json::from_slice(&bytes)
-            .map(Bounded)
-            .map_err(|error| Refusal::Json(error.to_string()))
+            .map(JsonBody)
+            .map_err(|error| Refusal::InvalidJson(error.to_string()))
     }
 }
 
-/// A web page may make an operator's browser post a form here, but not JSON.
+/// Requires JSON: a web page can make an operator's browser post a form across sites, but not JSON.
 fn check_type(headers: &HeaderMap) -> Result<(), Refusal> {
     let given = headers.get(header::CONTENT_TYPE);
     let essence = given
@@ -48,18 +49,18 @@
         .map(str::trim);
     match essence {
         Some(it) if it.eq_ignore_ascii_case("application/json") => Ok(()),
-        _ => Err(Refusal::Type),
+        _ => Err(Refusal::ContentType),
     }
 }
 
-/// Refuses a declared length before a byte of the body is read.
+/// Rejects a declared length above the limit before the body is read.
 fn check_length(headers: &HeaderMap, max: usize) -> Result<(), Refusal> {
     let length = headers
         .get(header::CONTENT_LENGTH)
         .and_then(|it| it.to_str().ok())
         .and_then(|it| it.parse::<u64>().ok());
     match length {
-        Some(length) if length > max as u64 => Err(Refusal::Long { max }),
+        Some(length) if length > max as u64 => Err(Refusal::BodyTooLong { max }),
         _ => Ok(()),
     }
 }
--- a/crates/node/src/admin/operators.rs
+++ b/crates/node/src/admin/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' part on configuration: submissions, services, audit and status.
+//! Operators' endpoints for the configuration: submissions, services, audit and status.
 
 use axum::{
     Json,
@@ -16,74 +16,77 @@
 };
 use serde::Deserialize;
 
-use super::{Admin, Refusal, Segment, body::Bounded, segment};
+use super::{Admin, Refusal, Segment, body::JsonBody, segment};
 
-/// What became of a submission, with the status that says so.
-type Told = Result<(StatusCode, Json<SubmitAnswer>), Refusal>;
+/// Outcome of a submission, with its HTTP status.
+type SubmitResult = Result<(StatusCode, Json<SubmitAnswer>), Refusal>;
 
 /// `POST /v1/submissions`
-pub async fn submit(State(admin): State<Admin>, Bounded(body): Bounded<SubmitBody>) -> Told {
+pub async fn submit(
+    State(admin): State<Admin>,
+    JsonBody(body): JsonBody<SubmitBody>,
+) -> SubmitResult {
     let submission = Submission::try_from(body)?;
     let id = submission.id;
     let call = Call::Accept(accept::Call::Submit(submission));
-    match admin.ask(call).await {
-        Ok(reply) => told(id, reply),
-        // The submission is on its way: a late answer does not say that it failed.
-        Err(Refusal::Late) => Ok(verdict(id, Verdict::Unknown { id })),
+    match admin.call(call).await {
+        Ok(reply) => submit_result(id, reply),
+        // The submission was sent, so it may still be accepted.
+        Err(Refusal::ReplyTimeout) => Ok(verdict_response(id, Verdict::Unknown { id })),
         Err(refusal) => Err(refusal),
     }
 }
 
 /// `GET /v1/submissions/<id>`
-pub async fn outcome(State(admin): State<Admin>, id: Segment) -> Told {
+pub async fn outcome(State(admin): State<Admin>, id: Segment) -> SubmitResult {
     let id: SubmitId = segment(id)?.parse().map_err(BadSubmission::Id)?;
     let call = Call::Accept(accept::Call::Outcome { id });
-    told(id, admin.ask(call).await?)
+    submit_result(id, admin.call(call).await?)
 }
 
 /// Query of `GET /v1/audit`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AuditQuery {
-    /// Only changes of this service. Default: every service.
+    /// Returns only changes of this service. Default: every service.
     service: Option<Name>,
-    /// Only changes after this position. Default: from the start.
+    /// Returns only changes after this log position. Default: from the start.
     #[serde(default)]
     after: Seq,
-    /// Most entries of the log. Default: 100.
+    /// Maximum number of log entries. Default: 100.
     limit: Option<u32>,
 }
 
-const AUDIT_DEFAULT: u32 = 100;
+const AUDIT_LIMIT_DEFAULT: u32 = 100;
 
 /// `GET /v1/audit`
 pub async fn audit(
     State(admin): State<Admin>,
     query: Result<Query<AuditQuery>, QueryRejection>,
 ) -> Result<Json<AuditBody>, Refusal> {
-    let Query(query) = query.map_err(|error| Refusal::Query(error.body_text()))?;
-    let limit = query.limit.unwrap_or(AUDIT_DEFAULT);
+    let Query(query) = query.map_err(|error| Refusal::InvalidQuery(error.body_text()))?;
+    let limit = query.limit.unwrap_or(AUDIT_LIMIT_DEFAULT);
     if !(1..=AUDIT_MAX).contains(&limit) {
-        return Err(Refusal::Limit);
+        return Err(Refusal::LimitOutOfRange);
     }
     let call = Call::Accept(accept::Call::Audit {
         service: query.service.clone(),
         after: query.after,
         limit,
     });
-    match admin.ask(call).await? {
+    match admin.call(call).await? {
         Reply::Accept(accept::Reply::Audit(page)) => {
             Ok(Json(AuditBody::new(page, query.service.as_ref())))
         }
         Reply::Accept(accept::Reply::Unavailable { why }) => Err(Refusal::Unavailable(why)),
-        _ => Err(Refusal::Unexpected),
+        _ => Err(Refusal::UnexpectedReply),
     }
 }
 
 /// `GET /v1/services`
 pub async fn list(State(admin): State<Admin>) -> Json<ListBody> {
     let view = admin.control.view();
-    let services = view.services.iter().map(|(name, it)| item(name, it));
+    let services = view.services.iter().map(|(name, it)| list_item(name, it));
     Json(ListBody {
         seq: view.seq,
         services: services.collect(),
@@ -110,13 +113,13 @@
 
 /// `GET /v1/status`
 pub async fn status(State(admin): State<Admin>) -> Result<Json<StatusBody>, Refusal> {
-    match admin.ask(Call::Status).await? {
+    match admin.call(Call::Status).await? {
         Reply::Status(status) => Ok(Json(StatusBody::from(status))),
-        _ => Err(Refusal::Unexpected),
+        _ => Err(Refusal::UnexpectedReply),
     }
 }
 
-fn item(name: &Name, view: &ServiceView) -> ListItem {
+fn list_item(name: &Name, view: &ServiceView) -> ListItem {
     ListItem {
         service: name.clone(),
         revision: view.revision,
@@ -126,14 +129,14 @@
     }
 }
 
-fn told(id: SubmitId, reply: Reply) -> Told {
+fn submit_result(id: SubmitId, reply: Reply) -> SubmitResult {
     match reply {
-        Reply::Accept(accept::Reply::Verdict(it)) => Ok(verdict(id, it)),
-        _ => Err(Refusal::Unexpected),
+        Reply::Accept(accept::Reply::Verdict(it)) => Ok(verdict_response(id, it)),
+        _ => Err(Refusal::UnexpectedReply),
     }
 }
 
-fn verdict(id: SubmitId, verdict: Verdict) -> (StatusCode, Json<SubmitAnswer>) {
+fn verdict_response(id: SubmitId, verdict: Verdict) -> (StatusCode, Json<SubmitAnswer>) {
     let answer = SubmitAnswer::new(id, verdict);
     let status = match answer.verdict {
         VerdictBody::Accepted { .. } => StatusCode::OK,
--- a/crates/node/src/admin/upstream.rs
+++ b/crates/node/src/admin/upstream.rs
@@ -1,16 +1,16 @@
-//! The part for the upstream beside the node.
+//! Endpoints for the upstream beside the node.
 
 use axum::{extract::State, http::StatusCode};
 use laburnum_edge::api::AnnounceBody;
 use laburnum_kernel::members::Phase;
 
-use super::{Admin, Refusal, body::Bounded};
+use super::{Admin, Refusal, body::JsonBody};
 use crate::upstream::Announcement;
 
 /// `PUT /v1/upstream`
 pub async fn announce(
     State(admin): State<Admin>,
-    Bounded(body): Bounded<AnnounceBody>,
+    JsonBody(body): JsonBody<AnnounceBody>,
 ) -> Result<StatusCode, Refusal> {
     let phase = match body.ready {
         true => Phase::Ready,
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -1,7 +1,6 @@
 //! Command line and environment of `laburnum-node`.
 //!
-//! Everything is checked here, before any socket opens: each setting alone ([`value`]), then all of them
-//! together. A node that started with a wrong setting would be noticed by the rest of the fleet first.
+//! Settings are checked before any socket opens: each one by its type ([`value`]), then all of them together.
 
 mod check;
 pub mod table;
@@ -19,20 +18,20 @@
 
 pub use self::table::PROGRAM;
 
-/// What the command line says.
+/// Parsed settings.
 #[derive(Clone, Debug)]
-pub struct Start {
-    /// The settings.
+pub struct StartOptions {
+    /// Configuration of the node.
     pub config: Config,
-    /// Each setting's name and text, secrets hidden, for the log.
-    pub shown: Vec<(&'static str, String)>,
+    /// Name and text of each setting for the log, with secrets hidden.
+    pub log_pairs: Vec<(&'static str, String)>,
 }
 
-/// Reads and checks every setting; reports all faults at once.
-pub fn parse(input: Input) -> Result<Start, Stop> {
+/// Parses and checks all settings; reports all faults at once.
+pub fn parse(input: Input) -> Result<StartOptions, Stop> {
     let values = PROGRAM.parse_with(input, check::faults)?;
-    Ok(Start {
-        shown: values.pairs(),
+    Ok(StartOptions {
+        log_pairs: values.pairs(),
         config: config(&values),
     })
 }
@@ -44,12 +43,12 @@
         header_fields: values.get(&HEADER_FIELDS).count(),
         header_time: values.get(&HEADER_TIME).get(),
         stall_time: values.get(&STALL_TIME).get(),
-        streams: streams(values.get(&CALLERS_STREAMS).get()),
+        streams: stream_limit(values.get(&CALLERS_STREAMS).get()),
         ..Bounds::default()
     };
     let nodes = Bounds {
         connections: values.get(&NODES_MAX).count(),
-        streams: streams(values.get(&NODES_STREAMS).get()),
+        streams: stream_limit(values.get(&NODES_STREAMS).get()),
         ..callers.clone()
     };
     let peers = values.get(&PEERS).0;
@@ -62,12 +61,12 @@
         zone: values.get(&ZONE).to_string(),
         peers: peers.into_iter().map(|it| it.0).collect(),
         platform: values.find(&PLATFORM).map(|it| it.0),
-        keys: keys(values),
+        keys: link_keys(values),
         admin_keys: [&ADMIN_KEY, &ADMIN_KEY_ALSO]
             .into_iter()
             .filter_map(|it| values.find(it))
             .collect(),
-        spread: spread(values),
+        spread: spread_settings(values),
         retention: values.get(&RETENTION).get(),
         workers: values.get(&WORKERS).count(),
         callers,
@@ -82,11 +81,11 @@
     }
 }
 
-fn streams(count: u64) -> u32 {
+fn stream_limit(count: u64) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-fn keys(values: &Values) -> Keys {
+fn link_keys(values: &Values) -> Keys {
     let keys = Keys::new(values.get(&LINK_KEY));
     match values.find(&LINK_KEY_ALSO) {
         Some(key) => keys.accepting(key),
@@ -94,8 +93,8 @@
     }
 }
 
-/// The preset, with what is given besides.
-fn spread(values: &Values) -> SpreadSettings {
+/// Returns the settings of the preset, overridden by the flags that are given.
+fn spread_settings(values: &Values) -> SpreadSettings {
     let preset = match values.get(&PRESET) {
         Preset::Nile => SpreadSettings::nile(),
         Preset::Cascadia => SpreadSettings::cascadia(),
--- a/crates/node/src/cli/check.rs
+++ b/crates/node/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! Faults between settings that are each valid alone.
+//! Checks of settings against each other.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -10,10 +10,10 @@
     TRAFFIC,
 };
 
-/// A setting and its address, if it could be read.
-type Address = (Row, Option<SocketAddr>);
+/// A setting for an address that the node listens on, and that address if it is valid.
+type OwnAddress = (Row, Option<SocketAddr>);
 
-/// Every fault between the settings; those with faults of their own are left out.
+/// Returns all conflicts between settings. Settings that are not valid by themselves are skipped.
 pub fn faults(values: &Values) -> Vec<Fault> {
     let own = [
         (CALLER.row(), values.find(&CALLER).map(|it| it.0)),
@@ -21,39 +21,40 @@
         (TRAFFIC.row(), values.find(&TRAFFIC).map(|it| it.0)),
         (ADMIN.row(), values.find(&ADMIN).map(|it| it.0)),
     ];
-    let mut faults = shared(&own);
-    faults.extend(peers(values, &own));
-    faults.extend(reach(values));
-    faults.extend(platform(values, &own));
-    faults.extend(keys(values));
-    faults.extend(tokens(values));
+    let mut faults = check_own_addresses(&own);
+    faults.extend(check_peers(values, &own));
+    faults.extend(check_traffic_address(values));
+    faults.extend(check_platform(values, &own));
+    faults.extend(check_link_keys(values));
+    faults.extend(check_admin_tokens(values));
     faults
 }
 
-/// Two sockets of the node want the same address.
-fn shared(own: &[Address; 4]) -> Vec<Fault> {
+/// Requires that no two sockets of the node listen on the same address.
+fn check_own_addresses(own: &[OwnAddress; 4]) -> Vec<Fault> {
     let pairs = own.iter().enumerate().flat_map(|(idx, later)| {
         let earlier = own[..idx].iter();
         earlier.map(move |it| (it, later))
     });
-    let clashes = pairs.filter_map(|(earlier, later)| {
+    let faults = pairs.filter_map(|(earlier, later)| {
         let (first, second) = (earlier.1?, later.1?);
-        if !clash(first, second) {
+        if !overlap(first, second) {
             return None;
         }
         let why = format!("{} listens there too: choose another port", earlier.0.flag);
         Some(Fault::bad(&later.0, &second.to_string(), &why))
     });
-    clashes.collect()
+    faults.collect()
 }
 
-/// A wildcard takes its port on every address.
-fn clash(lhs: SocketAddr, rhs: SocketAddr) -> bool {
+/// Returns whether two sockets cannot be bound together; a wildcard takes its port on every address.
+fn overlap(lhs: SocketAddr, rhs: SocketAddr) -> bool {
     let wild = lhs.ip().is_unspecified() || rhs.ip().is_unspecified();
     lhs.port() == rhs.port() && (wild || ip(lhs) == ip(rhs))
 }
 
-fn peers(values: &Values, own: &[Address; 4]) -> Vec<Fault> {
+/// Requires that the peers are other nodes, named once, that can reach this node's control address.
+fn check_peers(values: &Values, own: &[OwnAddress; 4]) -> Vec<Fault> {
     let peers = values.find(&PEERS).map_or_else(Vec::new, |it| it.0);
     let peers: Vec<SocketAddr> = peers.into_iter().map(|it| it.0).collect();
     let bad = |peer: &SocketAddr, why: &str| Fault::bad(&PEERS.row(), &peer.to_string(), why);
@@ -71,8 +72,8 @@
     let Some(control) = values.find(&CONTROL) else {
         return faults;
     };
-    let far = peers.iter().find(|it| !ip(**it).is_loopback());
-    if let Some(peer) = far
+    let remote = peers.iter().find(|it| !ip(**it).is_loopback());
+    if let Some(peer) = remote
         && ip(control.0).is_loopback()
     {
         let why = format!("{peer} of --peers cannot reach loopback: name this host's IP address");
@@ -81,8 +82,8 @@
     faults
 }
 
-/// Nodes that reach this one by its control address must reach its traffic address as well.
-fn reach(values: &Values) -> Option<Fault> {
+/// Requires that nodes that can reach the control address can reach the traffic address as well.
+fn check_traffic_address(values: &Values) -> Option<Fault> {
     let (control, traffic) = (values.find(&CONTROL)?.0, values.find(&TRAFFIC)?.0);
     if ip(control).is_loopback() || !ip(traffic).is_loopback() {
         return None;
@@ -92,18 +93,18 @@
     Some(Fault::bad(&TRAFFIC.row(), &traffic.to_string(), why))
 }
 
-/// The platform is none of the node's own sockets, and the nodes of a fleet share one.
+/// Requires that the platform is not one of the node's own sockets, and that a fleet shares one.
 ///
-/// With a table of its own each node would accept changes and claims for itself: two nodes would run
-/// the same request, and neither would see the other's changes. On loopback that is a trial.
-fn platform(values: &Values, own: &[Address; 4]) -> Vec<Fault> {
+/// With a table in its memory, each node would grant claims by itself, so two nodes could run the same request.
+/// On loopback this is allowed for trials.
+fn check_platform(values: &Values, own: &[OwnAddress; 4]) -> Vec<Fault> {
     let row = PLATFORM.row();
     let Some(platform) = values.find(&PLATFORM) else {
-        let far = values.find(&CONTROL);
-        let far = far.is_some_and(|it| !ip(it.0).is_loopback());
+        let remote = values.find(&CONTROL);
+        let remote = remote.is_some_and(|it| !ip(it.0).is_loopback());
         let peers = values.find(&PEERS).is_some_and(|it| !it.0.is_empty());
         let why = "the nodes of a fleet must share one: name its address";
-        return match far && peers {
+        return match remote && peers {
             true => vec![Fault::bad(&row, "", why)],
             false => Vec::new(),
         };
@@ -116,18 +117,18 @@
     faults.collect()
 }
 
-/// Anybody can seal frames with the public key, and so change the fleet's configuration.
-fn keys(values: &Values) -> Vec<Fault> {
+/// Allows the public key on loopback only: anybody can seal frames with it and change the fleet's configuration.
+fn check_link_keys(values: &Values) -> Vec<Fault> {
     let mut faults = Vec::new();
     let (key, also) = (values.find(&LINK_KEY), values.find(&LINK_KEY_ALSO));
-    let far = values.find(&CONTROL);
-    let far = far.is_some_and(|it| !ip(it.0).is_loopback());
-    let remedy = "everybody knows the public key, so it is for a loopback --control only: make one with: openssl rand -hex 32";
-    // A key that could not be read has its own fault already.
-    if far && key == Some(Key::PUBLIC) {
+    let remote = values.find(&CONTROL);
+    let remote = remote.is_some_and(|it| !ip(it.0).is_loopback());
+    let remedy = "the public key is no secret, so it is for a loopback --control only: make a key with: openssl rand -hex 32";
+    // An invalid key already has a fault of its own.
+    if remote && key == Some(Key::PUBLIC) {
         faults.push(Fault::bad(&LINK_KEY.row(), "", remedy));
     }
-    if far && also == Some(Key::PUBLIC) {
+    if remote && also == Some(Key::PUBLIC) {
         faults.push(Fault::bad(&LINK_KEY_ALSO.row(), "", remedy));
     }
     if also.is_some() && also == key {
@@ -137,8 +138,8 @@
     faults
 }
 
-/// Whoever reaches an admin address without tokens can change the fleet's configuration.
-fn tokens(values: &Values) -> Option<Fault> {
+/// Requires a token off loopback: without one, anybody who reaches the admin address can change the configuration.
+fn check_admin_tokens(values: &Values) -> Option<Fault> {
     let admin = values.find(&ADMIN)?.0;
     let mut tokens = [&ADMIN_KEY, &ADMIN_KEY_ALSO].into_iter();
     if ip(admin).is_loopback() || tokens.any(|it| values.find(it).is_some()) {
--- a/crates/node/src/cli/table.rs
+++ b/crates/node/src/cli/table.rs
@@ -1,13 +1,12 @@
-//! The table of settings of `laburnum-node`.
+//! Definitions of all settings of `laburnum-node`.
 
 use laburnum_edge::{Token, link::Key};
 use laburnum_flags::{Exit, List, Program, Setting};
 use laburnum_kernel::Name;
 
-use super::value::{Amount, Announced, Listen, Preset};
+use super::value::{Announced, BoundedInt, Listen, Preset};
 
-/// Milliseconds of a day.
-const DAY: u64 = 24 * 3_600 * 1_000;
+const DAY_MS: u64 = 24 * 3_600 * 1_000;
 
 pub const CALLER: Setting<Listen> = Setting::new(
     "--caller",
@@ -86,53 +85,53 @@
     "How changes spread: nile favours convergence time, cascadia control bytes.",
 )
 .default("nile");
-pub const WINDOW: Setting<Amount<0, 60_000>> = Setting::new(
+pub const WINDOW: Setting<BoundedInt<0, 60_000>> = Setting::new(
     "--window",
     "N",
     "How long changes are gathered before they travel; if not given, 20 with nile and 2000 with cascadia.",
 )
 .optional()
 .unit("ms");
-pub const BUDGET: Setting<Amount<256, 1_048_576>> = Setting::new(
+pub const BUDGET: Setting<BoundedInt<256, 1_048_576>> = Setting::new(
     "--budget",
     "N",
     "Control bytes that the node sends, averaged over a minute; if not given, 2048.",
 )
 .optional()
 .unit("bytes/s");
-pub const RELAYS: Setting<Amount<1, 16>> = Setting::new(
+pub const RELAYS: Setting<BoundedInt<1, 16>> = Setting::new(
     "--relays",
     "N",
     "Relays in each availability zone; the same on every node; if not given, 2.",
 )
 .optional();
-pub const DEGREE: Setting<Amount<2, 64>> = Setting::new(
+pub const DEGREE: Setting<BoundedInt<2, 64>> = Setting::new(
     "--degree",
     "N",
     "Most nodes that one node pushes changes to; if not given, 4.",
 )
 .optional();
-pub const SLOTS: Setting<Amount<1, 64>> = Setting::new(
+pub const SLOTS: Setting<BoundedInt<1, 64>> = Setting::new(
     "--slots",
     "N",
     "Long answers to lagging nodes given at once; if not given, 2.",
 )
 .optional();
-pub const CATCHUP: Setting<Amount<1_024, 16_777_216>> = Setting::new(
+pub const CATCHUP: Setting<BoundedInt<1_024, 16_777_216>> = Setting::new(
     "--catchup",
     "N",
     "Bytes of long answers to lagging nodes, averaged over a minute; if not given, 16384.",
 )
 .optional()
 .unit("bytes/s");
-pub const REPAIR: Setting<Amount<100, 600_000>> = Setting::new(
+pub const REPAIR: Setting<BoundedInt<100, 600_000>> = Setting::new(
     "--repair",
     "N",
     "Mean time between two comparisons with a random node; if not given, 2000 with nile and 4000 with cascadia.",
 )
 .optional()
 .unit("ms");
-pub const RETENTION: Setting<Amount<60_000, { 30 * DAY }>> = Setting::new(
+pub const RETENTION: Setting<BoundedInt<60_000, { 30 * DAY_MS }>> = Setting::new(
     "--retention",
     "N",
     "How long the answer of an idempotency key is kept; the same on every node.",
@@ -140,65 +139,65 @@
 .default("86400000")
 .unit("ms");
 
-pub const WORKERS: Setting<Amount<1, 256>> =
+pub const WORKERS: Setting<BoundedInt<1, 256>> =
     Setting::new("--workers", "N", "Threads that carry requests.").default("2");
-pub const GRACE: Setting<Amount<0, 3_600_000>> = Setting::new(
+pub const GRACE: Setting<BoundedInt<0, 3_600_000>> = Setting::new(
     "--grace",
     "N",
     "Longest wait for requests in progress when the node stops.",
 )
 .default("30000")
 .unit("ms");
-pub const CALLERS_MAX: Setting<Amount<1, 65_536>> =
+pub const CALLERS_MAX: Setting<BoundedInt<1, 65_536>> =
     Setting::new("--callers-max", "N", "Connections of callers open at once.").default("1024");
-pub const CALLERS_STREAMS: Setting<Amount<1, 65_536>> = Setting::new(
+pub const CALLERS_STREAMS: Setting<BoundedInt<1, 65_536>> = Setting::new(
     "--callers-streams",
     "N",
     "Requests open at once on one HTTP/2 connection of a caller.",
 )
 .default("256");
-pub const NODES_MAX: Setting<Amount<1, 65_536>> = Setting::new(
+pub const NODES_MAX: Setting<BoundedInt<1, 65_536>> = Setting::new(
     "--nodes-max",
     "N",
     "Connections of other nodes open at once.",
 )
 .default("4096");
-pub const NODES_STREAMS: Setting<Amount<1, 65_536>> = Setting::new(
+pub const NODES_STREAMS: Setting<BoundedInt<1, 65_536>> = Setting::new(
     "--nodes-streams",
     "N",
     "Requests open at once on one connection of another node.",
 )
 .default("1024");
-pub const HEADER_BYTES: Setting<Amount<8_192, 1_048_576>> =
+pub const HEADER_BYTES: Setting<BoundedInt<8_192, 1_048_576>> =
     Setting::new("--header-bytes", "N", "Longest header of one request.")
         .default("16384")
         .unit("bytes");
-pub const HEADER_FIELDS: Setting<Amount<16, 1_024>> =
+pub const HEADER_FIELDS: Setting<BoundedInt<16, 1_024>> =
     Setting::new("--header-fields", "N", "Most header fields of one request.").default("64");
-pub const HEADER_TIME: Setting<Amount<100, 600_000>> = Setting::new(
+pub const HEADER_TIME: Setting<BoundedInt<100, 600_000>> = Setting::new(
     "--header-time",
     "N",
     "Longest time in which a header must arrive, and for which a connection may idle.",
 )
 .default("10000")
 .unit("ms");
-pub const STALL_TIME: Setting<Amount<100, 600_000>> = Setting::new(
+pub const STALL_TIME: Setting<BoundedInt<100, 600_000>> = Setting::new(
     "--stall-time",
     "N",
     "Longest time for which a reader may take no byte while an answer waits.",
 )
 .default("10000")
 .unit("ms");
-pub const UPSTREAM_MAX: Setting<Amount<1, 65_536>> =
+pub const UPSTREAM_MAX: Setting<BoundedInt<1, 65_536>> =
     Setting::new("--upstream-max", "N", "Most connections to the upstream.").default("110");
-pub const UPSTREAM_CONNECT: Setting<Amount<1, 60_000>> = Setting::new(
+pub const UPSTREAM_CONNECT: Setting<BoundedInt<1, 60_000>> = Setting::new(
     "--upstream-connect",
     "N",
     "Longest time in which a connection to the upstream must open.",
 )
 .default("500")
 .unit("ms");
-pub const UPSTREAM_IDLE: Setting<Amount<0, 600_000>> = Setting::new(
+pub const UPSTREAM_IDLE: Setting<BoundedInt<0, 600_000>> = Setting::new(
     "--upstream-idle",
     "N",
     "Connections to the upstream that idled for longer are not used again.",
@@ -206,7 +205,7 @@
 .default("5000")
 .unit("ms");
 
-/// How a program that runs a node ends.
+/// Exit codes of a program that runs a node.
 pub const EXITS: &[Exit] = &[
     Exit {
         code: 0,
@@ -219,7 +218,7 @@
     Exit::USAGE,
 ];
 
-/// The binary and its settings.
+/// Description of the binary with all settings.
 pub const PROGRAM: Program = Program {
     name: "laburnum-node",
     version: env!("CARGO_PKG_VERSION"),
--- a/crates/node/src/cli/value.rs
+++ b/crates/node/src/cli/value.rs
@@ -1,38 +1,40 @@
-//! Types of the values on the command line.
+//! Types of setting values, with their parsers.
 
 use std::{net::SocketAddr, str::FromStr};
 
-/// A whole number from `MIN` to `MAX`.
+/// An integer from `MIN` to `MAX`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Amount<const MIN: u64, const MAX: u64>(u64);
+pub struct BoundedInt<const MIN: u64, const MAX: u64>(u64);
 
-/// The text is not a whole number within the bounds.
+/// The text is not an integer within the bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a whole number from {min} to {max}")]
-pub struct BadAmount {
+pub struct BadBoundedInt {
     min: u64,
     max: u64,
 }
 
-impl<const MIN: u64, const MAX: u64> Amount<MIN, MAX> {
-    /// The number.
+impl<const MIN: u64, const MAX: u64> BoundedInt<MIN, MAX> {
+    /// Returns the number.
     pub fn get(self) -> u64 {
         self.0
     }
 
-    /// The number, as a count of things in memory.
+    /// Returns the number as a `usize`.
     pub fn count(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
 }
 
-impl<const MIN: u64, const MAX: u64> FromStr for Amount<MIN, MAX> {
-    type Err = BadAmount;
+impl<const MIN: u64, const MAX: u64> FromStr for BoundedInt<MIN, MAX> {
+    type Err = BadBoundedInt;
 
-    fn from_str(text: &str) -> Result<Amount<MIN, MAX>, BadAmount> {
+    fn from_str(text: &str) -> Result<BoundedInt<MIN, MAX>, BadBoundedInt> {
         let number = text.parse().ok();
         let within = number.filter(|it| (MIN..=MAX).contains(it));
-        within.map(Amount).ok_or(BadAmount { min: MIN, max: MAX })
+        within
+            .map(BoundedInt)
+            .ok_or(BadBoundedInt { min: MIN, max: MAX })
     }
 }
 
@@ -40,22 +42,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listen(pub SocketAddr);
 
-/// An address that other processes are told or that is called: one host's, not a wildcard.
+/// An address that processes connect to: the address of one host, not a wildcard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Announced(pub SocketAddr);
 
 /// The text is not an address that the node can use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadAddress {
-    /// A host name, or no port.
+    /// The text is a host name, or lacks a port.
     #[error(
         "not an IP address and port, as in 10.0.0.7:7100 or [fd00::7]:7100 (host names are not looked up)"
     )]
     Syntax,
-    /// Port 0.
-    #[error("port 0 would be one that nobody knows: name a port")]
+    /// The port is 0.
+    #[error("port 0 would open a port that others do not know: name a port")]
     Port,
-    /// A wildcard or multicast address.
+    /// The address is a wildcard or a multicast address.
     #[error("others cannot reach this address: name the IP address of one host")]
     Unreachable,
 }
@@ -85,7 +87,7 @@
     }
 }
 
-/// Settings of the spread that fit one use.
+/// Preset of the settings that control how configuration spreads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preset {
     /// Favours convergence time.
@@ -94,7 +96,7 @@
     Cascadia,
 }
 
-/// The word is not a preset.
+/// The text is not a preset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not one of nile, cascadia")]
 pub struct BadPreset;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
-//! The node: one small process beside each upstream.
+//! The node: a small process that runs beside each upstream.
 //!
-//! One thread owns the kernel and the link ([`control`]); others carry requests ([`traffic`]) and read the
-//! immutable view that the control thread publishes. [`Node::start`] runs both inside any process.
+//! The control thread ([`control`]) owns the kernel and the link, and publishes an immutable view. The threads that
+//! carry requests ([`traffic`]) read this view. [`Node::start`] runs a node inside the current process.
 
 pub mod admin;
 pub mod auth;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `laburnum-node`: the process beside each upstream.
+//! The binary `laburnum-node`.
 
 use std::{process::ExitCode, sync::Arc};
 
@@ -6,7 +6,7 @@
 use laburnum_flags::{Exit, Input};
 use laburnum_node::{
     Config, Node,
-    cli::{self, Start},
+    cli::{self, StartOptions},
     logs,
 };
 use tokio::signal::unix::{SignalKind, signal};
@@ -26,25 +26,25 @@
     }
 }
 
-fn run(start: Start) -> Result<(), Box<dyn std::error::Error>> {
+fn run(start: StartOptions) -> Result<(), Box<dyn std::error::Error>> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(start.config.workers)
         .thread_name("traffic")
         .enable_all()
         .build()?;
     let result = runtime.block_on(serve(start));
-    // A forced stop leaves tasks behind; they end with the process.
+    // A forced stop leaves tasks running; they end with the process.
     runtime.shutdown_background();
     result
 }
 
-/// Runs until a signal has drained the node, or a second one cut that short.
-async fn serve(start: Start) -> Result<(), Box<dyn std::error::Error>> {
+/// Runs the node until a signal drains it, or a second signal aborts the drain.
+async fn serve(start: StartOptions) -> Result<(), Box<dyn std::error::Error>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let platform = platform(&start.config);
     let node = Node::start(start.config, Clock::system(), platform).await?;
-    logs::event("started", &start.shown);
+    logs::event("started", &start.log_pairs);
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
@@ -60,7 +60,8 @@
 
 fn platform(config: &Config) -> Arc<dyn Platform> {
     let Some(address) = config.platform else {
-        let why = "no --platform: the table and objects are in memory and end with this process";
+        let why =
+            "no --platform: the table and objects are in memory and lost when this process ends";
         logs::event("platform-embedded", &[("why", why.to_owned())]);
         return Arc::new(Memory::default());
     };
--- a/crates/node/tests/api/faults.rs
+++ b/crates/node/tests/api/faults.rs
@@ -1,4 +1,4 @@
-//! What the API refuses, and the bounds that it keeps.
+//! Tests of requests that the API refuses, and of its limits on length and time.
 
 use std::{
     convert::Infallible,
@@ -23,11 +23,11 @@
 use tokio::sync::oneshot;
 use tower::ServiceExt;
 
-use crate::support::{REGISTRY, SUBMISSIONS, Served, put};
+use crate::support::{REGISTRY, SUBMISSIONS, TestNode, put_body};
 
-/// `put` with one field replaced.
-fn with(field: &str, value: Value) -> String {
-    let mut body = put("1", "court-registry", 0, REGISTRY);
+/// Returns the body of a submission with one field replaced.
+fn put_body_with(field: &str, value: Value) -> String {
+    let mut body = put_body("1", "court-registry", 0, REGISTRY);
     body[field] = value;
     body.to_string()
 }
@@ -35,24 +35,24 @@
 #[test_case(String::new(), "the body is not valid: EOF"; "empty")]
 #[test_case("{\"id\": ".to_owned(), "line 1 column 7; correct the JSON there"; "cut")]
 #[test_case("[1]".to_owned(), "the body is not valid: invalid"; "list")]
-#[test_case(with("color", json!("red")), "unknown field `color`"; "unknown field")]
-#[test_case(with("base", json!("latest")), "expected u64"; "base as text")]
-#[test_case(with("base", json!(-1)), "expected u64"; "negative base")]
-#[test_case(with("edit", json!("rename")), "unknown variant `rename`, expected `put` or `delete`"; "edit")]
-#[test_case(with("service", json!("Court Registry")), "use 1 to 63 of a-z"; "service")]
-#[test_case(with("id", json!("xyz")), "use up to 32 hexadecimal digits"; "id")]
-#[test_case(with("id", json!("")), "use up to 32 hexadecimal digits"; "no id")]
-#[test_case(with("author", json!(" ")), "author is not valid; use 1 to 128 bytes"; "author")]
-#[test_case(with("reason", json!("a\nevent=accepted")), "reason is not valid"; "forged log line")]
-#[test_case(with("reason", json!("x".repeat(1025))), "use 1 to 1024 bytes"; "long reason")]
+#[test_case(put_body_with("color", json!("red")), "unknown field `color`"; "unknown field")]
+#[test_case(put_body_with("base", json!("latest")), "expected u64"; "base as text")]
+#[test_case(put_body_with("base", json!(-1)), "expected u64"; "negative base")]
+#[test_case(put_body_with("edit", json!("rename")), "unknown variant `rename`, expected `put` or `delete`"; "edit")]
+#[test_case(put_body_with("service", json!("Court Registry")), "use 1 to 63 of a-z"; "service")]
+#[test_case(put_body_with("id", json!("xyz")), "use up to 32 hexadecimal digits"; "id")]
+#[test_case(put_body_with("id", json!("")), "use up to 32 hexadecimal digits"; "no id")]
+#[test_case(put_body_with("author", json!(" ")), "author is not valid; use 1 to 128 bytes"; "author")]
+#[test_case(put_body_with("reason", json!("a\nevent=accepted")), "reason is not valid"; "forged log line")]
+#[test_case(put_body_with("reason", json!("x".repeat(1025))), "use 1 to 1024 bytes"; "long reason")]
 #[tokio::test(flavor = "multi_thread")]
-async fn submission_is_malformed(body: String, remedy: &str) {
-    let served = Served::plain().await;
-    let answer = served.send(Method::POST, SUBMISSIONS, body).await;
+async fn malformed_submission_is_rejected(body: String, remedy: &str) {
+    let node = TestNode::with_defaults().await;
+    let answer = node.send(Method::POST, SUBMISSIONS, body).await;
     assert_eq!(answer.status, StatusCode::BAD_REQUEST);
     assert!(answer.error().contains(remedy), "{}", answer.error());
-    assert_eq!(served.get("/v1/status").await.json()["seq"], 0);
-    served.close().await;
+    assert_eq!(node.get("/v1/status").await.json()["seq"], 0);
+    node.close().await;
 }
 
 #[test_case("GET", "/v1/service", 404, "the paths are /v1/submissions"; "unknown path")]
@@ -71,27 +71,27 @@
 #[test_case("POST", "/v1/submissions", 415, "content-type: application/json"; "no content type")]
 #[test_case("PUT", "/v1/upstream", 415, "content-type: application/json"; "upstream without content type")]
 #[tokio::test(flavor = "multi_thread")]
-async fn request_is_wrong(method: &str, path: &str, status: u16, remedy: &str) {
-    let served = Served::plain().await;
+async fn invalid_request_is_rejected(method: &str, path: &str, status: u16, remedy: &str) {
+    let node = TestNode::with_defaults().await;
     let method = method.parse().expect("a method");
-    let answer = served.ask(served.request(method, path), "").await;
+    let answer = node.send_request(node.request(method, path), "").await;
     assert_eq!(answer.status, status);
     assert!(answer.error().contains(remedy), "{}", answer.error());
-    served.close().await;
+    node.close().await;
 }
 
 #[test_case("schema = 1", "line 1, column 1: the document lacks \"owner\""; "incomplete")]
 #[test_case("schema = 2", "upgrade the nodes first"; "newer schema")]
 #[tokio::test(flavor = "multi_thread")]
-async fn document_is_refused_with_its_faults(text: &str, fault: &str) {
-    let served = Served::plain().await;
-    let answer = served.submit(&put("1", "court-registry", 0, text)).await;
+async fn invalid_document_is_refused_with_faults(text: &str, fault: &str) {
+    let node = TestNode::with_defaults().await;
+    let answer = node.submit(&put_body("1", "court-registry", 0, text)).await;
     assert_eq!(answer.status, StatusCode::UNPROCESSABLE_ENTITY);
     let VerdictBody::Refused { why } = answer.verdict() else {
         panic!("{:?}", answer.verdict());
     };
     assert!(why.contains(fault), "{why}");
-    served.close().await;
+    node.close().await;
 }
 
 #[test_case("/v1/quarantines/xyz/lift", json!({"author": "a", "reason": "r"}), 400, "16 hexadecimal digits"; "print")]
@@ -102,27 +102,27 @@
 #[test_case("/v1/unknown/resolve", json!({"service": "a", "key": "k", "found": "ran", "author": "a", "reason": "\u{7}"}), 400, "reason is not valid"; "reason")]
 #[test_case("/v1/unknown/resolve", json!({"service": "a", "key": "k", "found": "ran", "author": "a", "reason": "r"}), 409, "GET /v1/unknown"; "no claim")]
 #[tokio::test(flavor = "multi_thread")]
-async fn act_is_wrong(path: &str, body: Value, status: u16, remedy: &str) {
-    let served = Served::plain().await;
-    let answer = served.send(Method::POST, path, body.to_string()).await;
+async fn invalid_decision_is_rejected(path: &str, body: Value, status: u16, remedy: &str) {
+    let node = TestNode::with_defaults().await;
+    let answer = node.send(Method::POST, path, body.to_string()).await;
     assert_eq!(answer.status, status);
     assert!(answer.error().contains(remedy), "{}", answer.error());
-    served.close().await;
+    node.close().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn new_nodes_list_nothing() {
-    let served = Served::plain().await;
-    let quarantines = served.get("/v1/quarantines").await.json();
+async fn new_node_lists_nothing() {
+    let node = TestNode::with_defaults().await;
+    let quarantines = node.get("/v1/quarantines").await.json();
     assert_eq!(quarantines, json!({"quarantines": []}));
-    let unknown = served.get("/v1/unknown").await.json();
+    let unknown = node.get("/v1/unknown").await.json();
     assert_eq!(unknown, json!({"unknown": []}));
-    let list = served.get("/v1/services").await.json();
+    let list = node.get("/v1/services").await.json();
     assert_eq!(list, json!({"seq": 0, "services": []}));
-    served.close().await;
+    node.close().await;
 }
 
-/// A body that never ends and whose length is not declared.
+/// An endless body without a declared length.
 struct Endless;
 
 impl Stream for Endless {
@@ -133,46 +133,44 @@
     }
 }
 
-/// What the caller sees: 413 at once, for a declared length before any byte of it was sent, and for a body
-/// without one as soon as the bound is passed. A node that read on would hold whatever anyone sends it.
+/// Guards against a node that buffers bodies above the limit, with a declared length or without one.
 #[tokio::test(flavor = "multi_thread")]
-async fn long_bodies_are_cut_off() {
-    let served = Served::plain().await;
+async fn oversized_body_is_rejected() {
+    let node = TestNode::with_defaults().await;
     let head = "POST /v1/submissions HTTP/1.1\r\nhost: node\r\ncontent-type: application/json\r\n";
     let declared = format!("{head}content-length: {}\r\n\r\n", BODY_MAX + 1);
-    let answer = served.raw(&declared, "shorten it").await;
+    let answer = node.send_raw(&declared, "shorten it").await;
     assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
 
-    // Within the process: a socket may be reset while the rest of the body is still being sent.
+    // Without a socket, which could be reset while the rest of the body is being sent.
     let request = Request::post(SUBMISSIONS)
         .header(header::CONTENT_TYPE, "application/json")
         .body(Body::from_stream(Endless))
         .expect("a request");
-    let answer = served.admin.clone().router().oneshot(request).await;
+    let answer = node.admin.clone().router().oneshot(request).await;
     let status = answer.expect("infallible").status();
     assert_eq!(status, StatusCode::PAYLOAD_TOO_LARGE);
-    served.close().await;
+    node.close().await;
 }
 
-/// What the caller sees: 408 once the time for a body is over. A caller that sends one byte and goes silent
-/// would otherwise keep one of the API's places for good; 64 of them would lock every operator out.
+/// Guards against callers that never complete a body and hold all request permits of the API.
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_bodies_give_their_place_back() {
+async fn slow_body_releases_its_permit() {
     let bounds = Bounds {
-        arrival: Duration::from_millis(50),
-        requests: 1,
+        body_timeout: Duration::from_millis(50),
+        max_requests: 1,
         ..Bounds::default()
     };
-    let served = Served::start(Arc::new(Memory::default()), bounds).await;
+    let node = TestNode::start(Arc::new(Memory::default()), bounds).await;
     let head = "POST /v1/submissions HTTP/1.1\r\nhost: node\r\ncontent-type: application/json\r\n";
     let slow = format!("{head}content-length: 9\r\n\r\n{{");
-    let answer = served.raw(&slow, "send it at once").await;
+    let answer = node.send_raw(&slow, "send it at once").await;
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-    assert_eq!(served.get("/v1/status").await.status, StatusCode::OK);
-    served.close().await;
+    assert_eq!(node.get("/v1/status").await.status, StatusCode::OK);
+    node.close().await;
 }
 
-/// A platform that never answers, until it is released.
+/// A platform that never answers until it is dropped.
 #[derive(Default)]
 struct Silent {
     waiting: Mutex<Vec<oneshot::Sender<()>>>,
@@ -200,20 +198,20 @@
     }
 }
 
-/// What the caller sees: 504 with the verdict "unknown" and the id to ask again by. The platform took the
-/// write and says nothing; to answer "failed" could make the operator submit the change a second time.
+/// Guards against a timeout that is reported as a failure: the change may still be accepted, and the operator would
+/// submit it a second time.
 #[tokio::test(flavor = "multi_thread")]
-async fn late_answers_are_unknown() {
+async fn late_answer_is_reported_as_unknown() {
     let bounds = Bounds {
-        answer: Duration::from_millis(50),
+        reply_timeout: Duration::from_millis(50),
         ..Bounds::default()
     };
-    let served = Served::start(Arc::new(Silent::default()), bounds).await;
-    let answer = served
-        .submit(&put("2a", "court-registry", 0, REGISTRY))
+    let node = TestNode::start(Arc::new(Silent::default()), bounds).await;
+    let answer = node
+        .submit(&put_body("2a", "court-registry", 0, REGISTRY))
         .await;
     assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
     assert_eq!(answer.verdict(), VerdictBody::Unknown);
     assert_eq!(answer.json()["id"], "0000000000000000000000000000002a");
-    served.close().await;
+    node.close().await;
 }
--- a/crates/node/tests/api/main.rs
+++ b/crates/node/tests/api/main.rs
@@ -1,4 +1,4 @@
-//! The contract of the operators' API, over real sockets.
+//! Tests of the HTTP API for operators and upstreams over real sockets.
 
 mod changes;
 mod faults;
--- a/crates/node/tests/api/support.rs
+++ b/crates/node/tests/api/support.rs
@@ -1,4 +1,4 @@
-//! A node and its operators' API over real sockets.
+//! Starts a node with its HTTP API and sends requests to it.
 
 pub use laburnum_standin::ports::free;
 use std::{net::SocketAddr, sync::Arc};
@@ -28,21 +28,21 @@
 pub const REGISTRY: &str = include_str!("../../../../examples/nile/court-registry.toml");
 pub const SUBMISSIONS: &str = "/v1/submissions";
 
-/// A node and its API on a port of its own.
-pub struct Served {
+/// A node, and its API on an additional port with limits set by the test.
+pub struct TestNode {
     pub node: Node,
     pub admin: Admin,
     pub address: SocketAddr,
 }
 
-pub struct Answered {
+pub struct ApiAnswer {
     pub status: StatusCode,
     pub body: Vec<u8>,
 }
 
-impl Served {
-    pub async fn start(platform: Arc<dyn Platform>, bounds: Bounds) -> Served {
-        let node = node(platform).await;
+impl TestNode {
+    pub async fn start(platform: Arc<dyn Platform>, bounds: Bounds) -> TestNode {
+        let node = start_node(platform).await;
         let admin = Admin {
             bounds,
             ..Admin::new(
@@ -55,18 +55,22 @@
         let address = listener.local_addr().expect("an address");
         let router = admin.clone().router();
         tokio::spawn(async move { axum::serve(listener, router).await });
-        Served {
+        TestNode {
             node,
             admin,
             address,
         }
     }
 
-    pub async fn plain() -> Served {
-        Served::start(Arc::new(Memory::default()), Bounds::default()).await
+    pub async fn with_defaults() -> TestNode {
+        TestNode::start(Arc::new(Memory::default()), Bounds::default()).await
     }
 
-    pub async fn ask(&self, request: http::request::Builder, body: impl Into<Body>) -> Answered {
+    pub async fn send_request(
+        &self,
+        request: http::request::Builder,
+        body: impl Into<Body>,
+    ) -> ApiAnswer {
         let client: Client<HttpConnector, Body> =
             Client::builder(TokioExecutor::new()).build(HttpConnector::new());
         let request = request.body(body.into()).expect("a request");
@@ -74,7 +78,7 @@
         let status = answer.status();
         let body = answer.into_body().collect().await.expect("a whole body");
         let body = body.to_bytes().to_vec();
-        Answered { status, body }
+        ApiAnswer { status, body }
     }
 
     pub fn request(&self, method: Method, path: &str) -> http::request::Builder {
@@ -83,22 +87,22 @@
             .uri(format!("http://{}{path}", self.address))
     }
 
-    pub async fn get(&self, path: &str) -> Answered {
-        self.ask(self.request(Method::GET, path), "").await
+    pub async fn get(&self, path: &str) -> ApiAnswer {
+        self.send_request(self.request(Method::GET, path), "").await
     }
 
-    pub async fn submit(&self, body: &Value) -> Answered {
+    pub async fn submit(&self, body: &Value) -> ApiAnswer {
         self.send(Method::POST, SUBMISSIONS, body.to_string()).await
     }
 
-    pub async fn send(&self, method: Method, path: &str, body: String) -> Answered {
+    pub async fn send(&self, method: Method, path: &str, body: String) -> ApiAnswer {
         let request = self.request(method, path);
         let request = request.header(header::CONTENT_TYPE, "application/json");
-        self.ask(request, body).await
+        self.send_request(request, body).await
     }
 
-    /// Sends `text` as it is and reads until the node closes or `end` was read.
-    pub async fn raw(&self, text: &str, end: &str) -> String {
+    /// Sends `text` verbatim and reads until the node closes the connection or `end` was received.
+    pub async fn send_raw(&self, text: &str, end: &str) -> String {
         let mut stream = TcpStream::connect(self.address).await.expect("connected");
         stream.write_all(text.as_bytes()).await.expect("sent");
         let mut answer = Vec::new();
@@ -117,7 +121,7 @@
     }
 }
 
-impl Answered {
+impl ApiAnswer {
     pub fn error(&self) -> String {
         let body: ErrorBody = serde_json::from_slice(&self.body).expect("an error body");
         body.error
@@ -133,8 +137,8 @@
     }
 }
 
-/// Starts a node on free ports; tries others if a test beside this one was quicker to bind one of them.
-pub async fn node(platform: Arc<dyn Platform>) -> Node {
+/// Starts a node on free ports; retries with other ports if a concurrent test binds one of them first.
+pub async fn start_node(platform: Arc<dyn Platform>) -> Node {
     loop {
         let config = Config {
             caller: free(),
@@ -154,7 +158,7 @@
     }
 }
 
-pub fn put(id: &str, service: &str, base: u64, text: &str) -> Value {
+pub fn put_body(id: &str, service: &str, base: u64, text: &str) -> Value {
     json!({
         "id": id, "service": service, "base": base, "edit": {"put": {"text": text}},
         "author": "amal", "reason": "first version",
--- a/crates/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what a right one gives, and what each wrong one is told.
+//! Tests of the command line: the resulting settings, and the message for each fault.
 
 use laburnum_flags::Input;
 use laburnum_kernel::settings::SpreadSettings;
@@ -11,7 +11,7 @@
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 const PUBLIC: &str = "0000000000000000000000000000000000000000000000000000000000000000";
 
-/// The lines that `args` are refused with, without the program's name.
+/// Returns the faults reported for `args`, one per line, without the program's name.
 fn faults(args: &str) -> Vec<String> {
     let args = args.replace("KEY", KEY).replace("PUBLIC", PUBLIC);
     match cli::parse(Input::new(args.split_whitespace(), [])) {
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn defaults_of_flags_are_those_of_the_settings() {
+fn flag_defaults_match_config_defaults() {
     let given = config("", &[]);
     assert_eq!(format!("{given:?}"), format!("{:?}", Config::default()));
 }
 
 #[test]
-fn tokens_open_the_admin_address_and_are_never_shown() {
+fn admin_tokens_are_accepted_and_hidden() {
     let args = format!("--admin 10.0.0.7:7103 --admin-key {KEY} --admin-key-also more-{KEY}");
     let start = cli::parse(Input::new(args.split_whitespace(), [])).expect("no faults");
     assert_eq!(start.config.admin_keys.len(), 2);
@@ -53,12 +53,12 @@
     };
     "each one overridden"
 )]
-fn preset(args: &str, expected: SpreadSettings) {
+fn preset_gives_spread_settings(args: &str, expected: SpreadSettings) {
     assert_eq!(config(args, &[]).spread, expected);
 }
 
 #[test]
-fn every_setting_has_its_variable_and_the_flag_wins() {
+fn flags_override_variables() {
     let variables = [("LABURNUM_ZONE", "giza"), ("LABURNUM_CALLERS_MAX", "7")];
     let given = config("--zone maadi", &variables);
     assert_eq!(
@@ -71,7 +71,7 @@
 #[test_case("--control 0.0.0.0:7101", "--control (LABURNUM_CONTROL): \"0.0.0.0:7101\" is not valid: others cannot reach this address"; "control wildcard")]
 #[test_case("--traffic [::]:7102", "--traffic (LABURNUM_TRAFFIC): \"[::]:7102\" is not valid: others cannot reach this address"; "traffic wildcard")]
 #[test_case("--traffic 224.0.0.1:7102", "--traffic (LABURNUM_TRAFFIC): \"224.0.0.1:7102\" is not valid: others cannot reach this address"; "traffic multicast")]
-#[test_case("--caller 127.0.0.1:0", "--caller (LABURNUM_CALLER): \"127.0.0.1:0\" is not valid: port 0 would be one that nobody knows"; "port zero")]
+#[test_case("--caller 127.0.0.1:0", "--caller (LABURNUM_CALLER): \"127.0.0.1:0\" is not valid: port 0 would open a port that others do not know"; "port zero")]
 #[test_case("--peers 127.0.0.1:1,x", "--peers (LABURNUM_PEERS): \"127.0.0.1:1,x\" is not valid: item 2: not an IP address and port"; "bad peer")]
 #[test_case("--zone Giza!", "--zone (LABURNUM_ZONE): \"Giza!\" is not valid:"; "bad zone")]
 #[test_case("--window x", "--window (LABURNUM_WINDOW): \"x\" is not valid: not a whole number from 0 to 60000; give N (ms)"; "bad number")]
@@ -91,37 +91,37 @@
 #[test_case("--control 10.0.0.7:7101 --link-key KEY", "--traffic (LABURNUM_TRAFFIC): \"127.0.0.1:7102\" is not valid: other nodes reach --control"; "traffic on loopback")]
 #[test_case("--platform 127.0.0.1:7103", "--platform (LABURNUM_PLATFORM): \"127.0.0.1:7103\" is not valid: this node's own --admin"; "own platform")]
 #[test_case("--control 10.0.0.7:7101 --traffic 10.0.0.7:7102 --link-key KEY --peers 10.0.0.8:7101", "--platform (LABURNUM_PLATFORM): \"\" is not valid: the nodes of a fleet must share one"; "fleet without platform")]
-#[test_case("--control 10.0.0.7:7101 --traffic 10.0.0.7:7102", "--link-key (LABURNUM_LINK_KEY): \"(hidden)\" is not valid: everybody knows the public key"; "no key off loopback")]
-#[test_case("--control 10.0.0.7:7101 --traffic 10.0.0.7:7102 --link-key PUBLIC", "--link-key (LABURNUM_LINK_KEY): \"(hidden)\" is not valid: everybody knows the public key"; "public key off loopback")]
-#[test_case("--control 10.0.0.7:7101 --traffic 10.0.0.7:7102 --link-key KEY --link-key-also PUBLIC", "--link-key-also (LABURNUM_LINK_KEY_ALSO): \"(hidden)\" is not valid: everybody knows the public key"; "public second key")]
+#[test_case("--control 10.0.0.7:7101 --traffic 10.0.0.7:7102", "--link-key (LABURNUM_LINK_KEY): \"(hidden)\" is not valid: the public key is no secret"; "no key off loopback")]
+#[test_case("--control 10.0.0.7:7101 --traffic 10.0.0.7:7102 --link-key PUBLIC", "--link-key (LABURNUM_LINK_KEY): \"(hidden)\" is not valid: the public key is no secret"; "public key off loopback")]
+#[test_case("--control 10.0.0.7:7101 --traffic 10.0.0.7:7102 --link-key KEY --link-key-also PUBLIC", "--link-key-also (LABURNUM_LINK_KEY_ALSO): \"(hidden)\" is not valid: the public key is no secret"; "public second key")]
 #[test_case("--link-key KEY --link-key-also KEY", "--link-key-also (LABURNUM_LINK_KEY_ALSO): \"(hidden)\" is not valid: the same as --link-key"; "same key twice")]
-fn one_fault(args: &str, expected: &str) {
-    let told = faults(args);
-    assert_eq!(told.len(), 1, "{told:#?}");
-    assert!(told[0].starts_with(expected), "{}", told[0]);
+fn one_fault_is_reported(args: &str, expected: &str) {
+    let reported = faults(args);
+    assert_eq!(reported.len(), 1, "{reported:#?}");
+    assert!(reported[0].starts_with(expected), "{}", reported[0]);
 }
 
 #[test_case("--control [::1]:7101 --peers 127.0.0.1:1,127.0.0.1:2"; "a trial on loopback")]
 #[test_case("--control 10.0.0.7:7101 --traffic 10.0.0.7:7102 --link-key KEY"; "one node with a key")]
 #[test_case("--control 10.0.0.7:7101 --traffic 10.0.0.7:7102 --link-key KEY --platform 10.0.0.9:7200 --peers 10.0.0.8:7101"; "a fleet")]
-fn accepted(args: &str) {
+fn valid_settings_are_accepted(args: &str) {
     assert_eq!(faults(args), Vec::<String>::new());
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
-    let told = faults("--zone X --admin 127.0.0.1:7100 --colour blue --workers many");
+fn all_faults_are_reported_at_once() {
+    let reported = faults("--zone X --admin 127.0.0.1:7100 --colour blue --workers many");
     let starts = [
         "--zone",
         "--workers",
         "unknown flag \"--colour\"",
         "--admin",
     ];
-    assert_eq!(told.len(), starts.len(), "{told:#?}");
+    assert_eq!(reported.len(), starts.len(), "{reported:#?}");
     for start in starts {
         assert!(
-            told.iter().any(|it| it.starts_with(start)),
-            "{start}: {told:#?}"
+            reported.iter().any(|it| it.starts_with(start)),
+            "{start}: {reported:#?}"
         );
     }
 }
@@ -132,7 +132,7 @@
     let start = cli::parse(input).expect("no faults");
     assert!(!format!("{start:?}").contains(KEY));
     let shown = ("link-key", "(hidden)".to_owned());
-    assert!(start.shown.contains(&shown));
+    assert!(start.log_pairs.contains(&shown));
 }
 
 #[test]
--- a/crates/node/tests/metrics.rs
+++ b/crates/node/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! `GET /metrics` over real sockets.
+//! Tests of `GET /metrics` over real sockets.
 
 mod common;
 
@@ -13,12 +13,12 @@
 
 use common::{Fake, answer, cluster, request, send};
 
-/// Each line of the answer that is no comment: its name with labels, and its value.
+/// Returns the text of the metrics, and the value of each metric by its name with labels.
 async fn metrics(admin: SocketAddr) -> (String, BTreeMap<String, f64>) {
-    let got = send(Request::get(format!("http://{admin}/metrics")), "").await;
-    assert_eq!(got.head.status, 200);
-    assert!(got.field("content-type").starts_with("text/plain"));
-    let body = got.body.expect("a whole body");
+    let response = send(Request::get(format!("http://{admin}/metrics")), "").await;
+    assert_eq!(response.head.status, 200);
+    assert!(response.field("content-type").starts_with("text/plain"));
+    let body = response.body.expect("a whole body");
     let text = String::from_utf8(body.to_vec()).expect("UTF-8");
     let lines = text.lines().filter(|it| !it.starts_with('#'));
     let pairs = lines.map(|it| {
@@ -29,11 +29,9 @@
     (text, pairs)
 }
 
-// Two nodes run in this process. A caller's draft goes through the first to the upstream beside the second, and a
-// request for a path without a route is refused. Each node shows what it did itself: with one registry for the
-// process an operator would see the sum of all and could not tell which node refuses.
+// Guards against one registry for the whole process, which would show the sum over its nodes.
 #[tokio::test(flavor = "multi_thread")]
-async fn each_node_counts_what_it_did_itself() {
+async fn each_node_counts_its_own_requests() {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster(&[&fake]).await;
     for path in ["/drafts/1", "/drafts/2", "/nowhere"] {
@@ -64,7 +62,7 @@
         (1.0, 1.0)
     );
 
-    // Whoever reads the answer finds exactly the metrics of the table, each with its type.
+    // The answer has exactly the metrics of the table, each with its type.
     let types = text.lines().filter_map(|it| it.strip_prefix("# TYPE "));
     let table = TABLE
         .iter()
@@ -76,10 +74,9 @@
     cluster.close().await;
 }
 
-// The control thread publishes its counts once a second, and traffic with the other node goes on by itself.
-// Without them an operator sees neither the size of the fleet nor what the control traffic costs.
+// Guards against missing counters of the control thread, which hide the size of the fleet and the control traffic.
 #[tokio::test(flavor = "multi_thread")]
-async fn counts_of_the_control_thread_arrive() {
+async fn control_thread_counters_are_published() {
     let fake = Fake::start(|_| answer("draft")).await;
     let cluster = cluster(&[&fake]).await;
     let admin = cluster.nodes[0].config.admin;
@@ -90,18 +87,18 @@
             .filter(|it| it.0.starts_with("laburnum_members{"));
         named.map(|it| it.1).sum::<f64>()
     };
-    let mut known = (0.0, 0.0, 0.0);
+    let mut counters = (0.0, 0.0, 0.0);
     for _ in 0..100 {
         let (_, all) = metrics(admin).await;
-        known = (all[sent], members(&all), all["laburnum_seq_heard"]);
-        if known.0 > 0.0 && known.1 == 2.0 && known.2 == 1.0 {
+        counters = (all[sent], members(&all), all["laburnum_seq_heard"]);
+        if counters.0 > 0.0 && counters.1 == 2.0 && counters.2 == 1.0 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(STATS_MS / 5)).await;
     }
     assert!(
-        known.0 > 0.0 && known.1 == 2.0 && known.2 == 1.0,
-        "{known:?}"
+        counters.0 > 0.0 && counters.1 == 2.0 && counters.2 == 1.0,
+        "{counters:?}"
     );
     cluster.close().await;
 }
--- a/crates/node/tests/names.rs
+++ b/crates/node/tests/names.rs
@@ -1,4 +1,4 @@
-//! The names of events and metrics in the code and in docs/LOGS.md and docs/METRICS.md are the same.
+//! Tests that events and metrics in the code match docs/LOGS.md and docs/METRICS.md, and of the format of log lines.
 
 use std::{
     collections::BTreeSet,
@@ -15,7 +15,7 @@
 
 const FOLDERS: [&str; 4] = ["crates/kernel", "crates/edge", "crates/node", "platform"];
 
-/// Text before the name of an event.
+/// Calls in the source whose next token is the name of an event.
 const CALLS: [&str; 3] = ["cx.log(", "logs::event(", "self::line("];
 
 fn root() -> PathBuf {
@@ -26,7 +26,7 @@
     fs::read_to_string(root().join("docs").join(name)).expect("the page")
 }
 
-/// The text of every source file of the node.
+/// Returns the text of every source file in [`FOLDERS`].
 fn sources() -> Vec<String> {
     let mut folders: Vec<PathBuf> = FOLDERS
         .iter()
@@ -45,14 +45,14 @@
     texts
 }
 
-/// String literals that directly follow `before`.
+/// Returns the string literals that directly follow `before`.
 fn literals(text: &str, before: &str) -> BTreeSet<String> {
     let after = text.split(before).skip(1);
     let quoted = after.filter_map(|it| it.trim_start().strip_prefix('"')?.split('"').next());
     quoted.map(str::to_owned).collect()
 }
 
-/// First cells of the page's tables.
+/// Returns the names in the first column of the page's tables.
 fn listed(page: &str) -> BTreeSet<String> {
     let rows = page.lines().filter_map(|it| it.strip_prefix("| `"));
     let cells = rows.filter_map(|it| it.split('`').next());
@@ -60,19 +60,25 @@
 }
 
 #[test]
-fn every_event_is_in_the_page_and_back() {
+fn events_match_the_logs_page() {
     let in_code: BTreeSet<String> = sources()
         .iter()
         .flat_map(|text| CALLS.iter().flat_map(|it| literals(text, it)))
         .collect();
-    assert!(in_code.len() > 20, "the scan finds calls: {in_code:?}");
+    assert!(
+        in_code.len() > 20,
+        "too few events found in the source: {in_code:?}"
+    );
     let plain = |it: &String| it.chars().all(|it| it.is_ascii_lowercase() || it == '-');
-    assert!(in_code.iter().all(plain), "words and hyphens: {in_code:?}");
+    assert!(
+        in_code.iter().all(plain),
+        "event names are lowercase words and hyphens: {in_code:?}"
+    );
     assert_eq!(in_code, listed(&page("LOGS.md")));
 }
 
 #[test]
-fn levels_are_those_of_the_page() {
+fn log_levels_match_the_logs_page() {
     for row in page("LOGS.md").lines().filter(|it| it.starts_with("| `")) {
         let cells: Vec<&str> = row.split('|').map(str::trim).collect();
         let name = cells[1].trim_matches('`');
@@ -85,19 +91,20 @@
 }
 
 #[test]
-fn every_metric_is_in_the_page_and_back() {
+fn metrics_match_the_metrics_page() {
     let in_code: BTreeSet<String> = TABLE.iter().map(|it| it.name.to_owned()).collect();
-    assert_eq!(in_code.len(), TABLE.len(), "a name is there twice");
+    assert_eq!(in_code.len(), TABLE.len(), "duplicate metric name");
     assert_eq!(in_code, listed(&page("METRICS.md")));
 }
 
 #[test]
-fn types_and_meanings_of_metrics_are_those_of_the_page() {
+fn metric_types_and_help_match_the_page() {
     let page = page("METRICS.md");
     for row in TABLE {
         let start = format!("| `{}` | {} | ", row.name, row.kind.as_str());
         let found = page.lines().find(|it| it.starts_with(&start));
-        let found = found.unwrap_or_else(|| panic!("no line {start}"));
+        let found =
+            found.unwrap_or_else(|| panic!("the page has no line that starts with {start}"));
         assert!(found.contains(row.help), "{found}");
     }
 }
@@ -109,13 +116,13 @@
 #[test_case("say \"x\"" => "event=e k=\"say \\\"x\\\"\""; "quotes")]
 #[test_case("x\nevent=forged" => "event=e k=\"x\\nevent=forged\""; "line break")]
 #[test_case("\u{1b}[2J" => "event=e k=\"\\u{1b}[2J\""; "escape of a terminal")]
-fn value(text: &str) -> String {
+fn log_value_is_quoted_if_needed(text: &str) -> String {
     line("e", &[("k", text.to_owned())])
 }
 
 #[test_case("laburnum", "event=e k=v" => "level=info event=e k=v"; "own event")]
 #[test_case("h2", "odd\nframe" => "level=info event=library target=h2 text=\"odd\\nframe\""; "line of a library")]
-fn layout(target: &str, text: &str) -> String {
+fn log_line_has_time_and_level(target: &str, text: &str) -> String {
     let payload = format_args!("{text}");
     let record = Record::builder().target(target).payload(payload).build();
     let bytes = Pairs.format(&record, &[]).expect("a line");
