--- a/crates/standin/examples/platform_load.rs
+++ b/crates/standin/examples/platform_load.rs
@@ -1,4 +1,4 @@
-//! Measures the HTTP adapter against the stand-in on this machine: calls a second and their latencies.
+//! Measures the rate and latencies of calls through the HTTP adapter to the platform stand-in.
 //!
 //! `cargo run --release -p laburnum-standin --example platform_load`
 
@@ -30,8 +30,8 @@
 #[tokio::main]
 async fn main() -> std::io::Result<()> {
     let faulty = Faulty::new(Arc::new(Memory::default()), Clock::system(), 1);
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let server = PlatformServer::start(any, faulty).await?;
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let server = PlatformServer::start(any_port, faulty).await?;
     let platform = Arc::new(HttpPlatform::new(HttpSettings {
         address: server.address(),
         ..HttpSettings::default()
@@ -63,7 +63,7 @@
     );
 }
 
-/// Latencies of the calls that were answered, in microseconds.
+/// Sends one caller's calls; returns the latencies of the answered ones, in microseconds.
 async fn calls(platform: Arc<HttpPlatform>, caller: usize, op: fn(usize) -> TableOp) -> Vec<u128> {
     let mut micros = Vec::new();
     for idx in 0..CALLS / CALLERS {
--- a/crates/standin/src/body.rs
+++ b/crates/standin/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers, whole or cut short.
+//! Bodies of answers, complete or truncated.
 
 use std::{
     pin::Pin,
@@ -10,32 +10,32 @@
 use http_body::{Frame, SizeHint};
 use serde::Serialize;
 
-/// The connection ends here, without or within an answer.
+/// Error that makes the server close the connection, before or within an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the stand-in cut the connection on purpose")]
-pub struct Cut;
+pub struct ConnectionCut;
 
 /// An answer's body.
 #[derive(Clone, Debug)]
 pub enum Body {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// A part of what the length header promises, then the connection ends.
+    /// A part of the announced length, after which the connection is closed.
     Part(Bytes),
-    /// The part is being sent.
-    Pause,
-    /// Everything was sent that will be.
-    Over(Result<(), Cut>),
+    /// The part was handed to the server and is being flushed.
+    Flushing,
+    /// Nothing more is sent.
+    Ended(Result<(), ConnectionCut>),
 }
 
-/// Answers with a text.
+/// Returns an answer with a text body.
 pub fn text(status: StatusCode, text: String) -> Response<Body> {
     let mut response = Response::new(Body::Whole(Bytes::from(text)));
     *response.status_mut() = status;
     response
 }
 
-/// Answers with JSON.
+/// Returns an answer with a JSON body.
 pub fn json(status: StatusCode, body: &impl Serialize) -> Response<Body> {
     match serde_json::to_string(body) {
         Ok(json) => {
@@ -48,8 +48,8 @@
     }
 }
 
-/// Promises the whole of `response` and sends the first half of its body.
-pub fn cut(response: Response<Body>) -> Response<Body> {
+/// Truncates `response`: announces the length of its body and sends the first half.
+pub fn truncate(response: Response<Body>) -> Response<Body> {
     let (mut parts, body) = response.into_parts();
     let Body::Whole(bytes) = body else {
         return Response::from_parts(parts, body);
@@ -62,41 +62,40 @@
 
 impl http_body::Body for Body {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = ConnectionCut;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionCut>>> {
         let next = match &*self {
-            Body::Whole(_) => Body::Over(Ok(())),
-            Body::Part(_) => Body::Pause,
-            Body::Pause => Body::Over(Err(Cut)),
-            Body::Over(_) => Body::Over(Ok(())),
+            Body::Whole(_) => Body::Ended(Ok(())),
+            Body::Part(_) => Body::Flushing,
+            Body::Flushing => Body::Ended(Err(ConnectionCut)),
+            Body::Ended(_) => Body::Ended(Ok(())),
         };
         match std::mem::replace(&mut *self, next) {
             Body::Whole(bytes) | Body::Part(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
-            // An error at once would end the connection before the server flushed the part, and the
-            // caller would see no answer where it should see half of one. The server flushes whenever
-            // it has to wait.
-            Body::Pause => {
+            // The server flushes when it has to wait. An immediate error would close the connection before the part is
+            // flushed, and the caller would see no answer at all.
+            Body::Flushing => {
                 cx.waker().wake_by_ref();
                 Poll::Pending
             }
-            Body::Over(Ok(())) => Poll::Ready(None),
-            Body::Over(Err(cut)) => Poll::Ready(Some(Err(cut))),
+            Body::Ended(Ok(())) => Poll::Ready(None),
+            Body::Ended(Err(cut)) => Poll::Ready(Some(Err(cut))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Body::Over(Ok(())))
+        matches!(self, Body::Ended(Ok(())))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Body::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Body::Part(_) | Body::Pause | Body::Over(Err(_)) => SizeHint::default(),
-            Body::Over(Ok(())) => SizeHint::with_exact(0),
+            Body::Part(_) | Body::Flushing | Body::Ended(Err(_)) => SizeHint::default(),
+            Body::Ended(Ok(())) => SizeHint::with_exact(0),
         }
     }
 }
--- a/crates/standin/src/cli.rs
+++ b/crates/standin/src/cli.rs
@@ -1,4 +1,4 @@
-//! Settings of `laburnum-standin`.
+//! Command line of `laburnum-standin`.
 
 use std::net::SocketAddr;
 
@@ -139,19 +139,19 @@
 /// Name of the command that stands in for an upstream.
 pub const UPSTREAM_COMMAND: &str = "upstream";
 
-/// What the platform's command line says.
+/// Parsed command line of the platform stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformCommand {
-    /// Where it listens.
+    /// Listen address.
     pub listen: SocketAddr,
     /// Faults at start.
     pub faults: Faults,
-    /// Fixes its random choices.
+    /// Seed of random choices.
     pub seed: u64,
 }
 
 impl PlatformCommand {
-    /// Reads them from the command line.
+    /// Reads the settings from the command line.
     pub fn new(values: &Values) -> PlatformCommand {
         PlatformCommand {
             listen: values.get(&PLATFORM_LISTEN),
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults the platform stand-in shows, decided without I/O and by a seed.
+//! Fault injection of the platform stand-in: decides per call, deterministically by a seed and without I/O.
 
 use std::{fmt, str::FromStr};
 
@@ -7,49 +7,49 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// The faults shown at present. The default shows none.
+/// Injected faults. The default injects none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Faults {
-    /// Whether calls are answered at all. Default: none.
+    /// Outage of the platform. Default: none.
     pub outage: Outage,
-    /// Milliseconds from the operation's effect to its answer. Default: 0.
+    /// Delay from the operation's effect to its answer, in ms. Default: 0.
     pub slow: u64,
-    /// Milliseconds until the operation takes effect, even if its caller gave up. Default: 0.
+    /// Delay until the operation takes effect, in ms, even if its caller has timed out. Default: 0.
     pub late: u64,
     /// Share of writes whose answer is lost after they took effect. Default: 0.
     pub lost: Share,
-    /// What becomes of answers that are sent. Default: whole.
+    /// How answers are sent. Default: whole.
     pub answers: Answers,
-    /// Rows written a second before calls are throttled; 0 for no limit. Default: 0.
+    /// Limit of rows written per second; 0 for no limit. Default: 0.
     pub writes: u64,
-    /// Rows read a second before calls are throttled; 0 for no limit. Default: 0.
+    /// Limit of rows read per second; 0 for no limit. Default: 0.
     pub reads: u64,
 }
 
-/// Whether calls are answered.
+/// Kind of outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outage {
-    /// They are.
+    /// Calls are answered.
     #[default]
     None,
-    /// They are refused at once and have no effect.
+    /// Calls are refused at once and have no effect.
     Refuse,
-    /// They are never answered and have no effect.
+    /// Calls are never answered and have no effect.
     Hang,
 }
 
-/// What becomes of answers that are sent.
+/// How answers are sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answers {
-    /// They arrive.
+    /// The answer is complete.
     #[default]
     Whole,
     /// The connection ends within the body.
     Truncated,
-    /// The body is no JSON.
+    /// The body is not JSON.
     Malformed,
 }
 
@@ -58,22 +58,22 @@
 #[serde(try_from = "f64", into = "f64")]
 pub struct Share(f64);
 
-/// A text is not one of the words of its type.
+/// Error for a text that is not one of the words of its type.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not one of {0}")]
 pub struct BadWord(&'static str);
 
-/// A number is not a share.
+/// Error for a number that is not a share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a number between 0 and 1")]
 pub struct BadShare;
 
-/// What was served so far.
+/// Counters of the calls so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Reads that took place.
+    /// Reads carried out.
     pub reads: u64,
-    /// Writes that took place, conflicts included.
+    /// Writes carried out, conflicts included.
     pub writes: u64,
     /// Rows and objects read.
     pub read_rows: u64,
@@ -87,36 +87,40 @@
     pub lost: u64,
 }
 
-/// What an operation does.
+/// Kind of operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It changes nothing.
+    /// The operation changes nothing.
     Read,
-    /// It changes something.
+    /// The operation changes rows or objects.
     Write,
 }
 
-/// What is to be done with one call.
+/// Decision on one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// Carry it out after `late` ms, wait `slow` ms, then send its answer.
-    Run { late: u64, slow: u64, fate: Fate },
+    /// Carry it out after `late` ms, wait `slow` ms, then deliver its answer.
+    Run {
+        late: u64,
+        slow: u64,
+        delivery: Delivery,
+    },
     /// Refuse it; it has no effect.
     Refuse(Fault),
     /// Never answer it; it has no effect.
     Hang,
 }
 
-/// What becomes of one answer.
+/// Delivery of one answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// See [`Answers`].
+pub enum Delivery {
+    /// Sent as [`Answers`] says.
     Sent(Answers),
-    /// The connection ends before it.
+    /// Not sent; the connection is closed instead.
     Lost,
 }
 
-/// Decides each call's fate.
+/// Decides how each call is served.
 #[derive(Debug)]
 pub struct Injector {
     faults: Faults,
@@ -126,19 +130,19 @@
     stats: Stats,
 }
 
-/// A token bucket that holds a second's worth and admits a call while a whole row is left. It may go into
-/// debt, since the rows of a call are known only afterwards.
+/// Token bucket with the capacity of one second that admits a call while a whole row is left. Its level may become
+/// negative, as the rows of a call are known only afterwards.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
-    /// Rows a second; 0 for no limit.
+    /// Rows per second; 0 for no limit.
     rate: u64,
-    /// Thousandths of a row left.
+    /// Remaining rows, in thousandths.
     level: i64,
     filled: Ms,
 }
 
 impl Injector {
-    /// An injector that shows no faults; `seed` fixes its random choices.
+    /// Returns an injector without faults; `seed` makes its random choices reproducible.
     pub fn new(seed: u64) -> Injector {
         Injector {
             faults: Faults::default(),
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Shows these faults from `now` on.
+    /// Injects `faults` from `now` on.
     pub fn set(&mut self, now: Ms, faults: Faults) {
         if faults.reads != self.faults.reads {
             self.reads = Bucket::full(now, faults.reads);
@@ -160,12 +164,12 @@
         self.faults = faults;
     }
 
-    /// The faults shown at present.
+    /// Returns the injected faults.
     pub fn faults(&self) -> Faults {
         self.faults
     }
 
-    /// What was served so far.
+    /// Returns the counters of the calls so far.
     pub fn stats(&self) -> Stats {
         self.stats
     }
@@ -190,11 +194,11 @@
         Plan::Run {
             late: self.faults.late,
             slow: self.faults.slow,
-            fate: self.fate(kind),
+            delivery: self.delivery(kind),
         }
     }
 
-    /// Counts a call that took place with so many rows.
+    /// Counts a call that read or wrote `rows` rows, and charges them to the rate limit.
     pub fn charge(&mut self, now: Ms, kind: Kind, rows: usize) {
         let rows = rows.max(1) as u64;
         self.bucket(kind).take(now, rows);
@@ -210,13 +214,13 @@
         }
     }
 
-    fn fate(&mut self, kind: Kind) -> Fate {
+    fn delivery(&mut self, kind: Kind) -> Delivery {
         let lost = kind == Kind::Write && self.rng.random_bool(self.faults.lost.0);
         if lost {
             self.stats.lost += 1;
-            return Fate::Lost;
+            return Delivery::Lost;
         }
-        Fate::Sent(self.faults.answers)
+        Delivery::Sent(self.faults.answers)
     }
 
     fn bucket(&mut self, kind: Kind) -> &mut Bucket {
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Whether a call may pass, else the milliseconds until one may.
+    /// Admits a call, or returns the time until one is admitted, in ms.
     fn admit(&mut self, now: Ms) -> Result<(), u64> {
         self.fill(now);
         let missing = capacity(1).saturating_sub(self.level);
@@ -261,7 +265,7 @@
     }
 }
 
-/// Thousandths of a row.
+/// Returns the level of `rows` rows, in thousandths of a row.
 fn capacity(rows: u64) -> i64 {
     i64::try_from(rows.saturating_mul(1000)).unwrap_or(i64::MAX)
 }
--- a/crates/standin/src/faulty.rs
+++ b/crates/standin/src/faulty.rs
@@ -1,4 +1,4 @@
-//! The platform inside the process, with faults.
+//! In-process platform with fault injection.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -8,10 +8,10 @@
 use laburnum_edge::{Clock, HttpSettings, Memory, Platform, platform::Answer};
 use laburnum_kernel::platform::{Fault, ObjectAnswer, ObjectOp, TableAnswer, TableOp};
 
-use crate::faults::{Answers, Fate, Faults, Injector, Kind, Plan, Stats};
+use crate::faults::{Answers, Delivery, Faults, Injector, Kind, Plan, Stats};
 
-/// [`Memory`] behind faults. Answers as the HTTP adapter does, so that tests and benches need no sockets.
-/// Clones share everything.
+/// [`Memory`] with injected faults. Callers see the same answers as through the HTTP adapter, without sockets.
+/// Clones share all state.
 #[derive(Clone, Debug)]
 pub struct Faulty {
     shared: Arc<Shared>,
@@ -25,32 +25,32 @@
     injector: Mutex<Injector>,
 }
 
-/// What reaches the caller's connection.
+/// Result of one call at the caller's connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Served<A> {
-    /// The whole answer.
+    /// The complete answer.
     Whole(A),
-    /// The start of the answer.
+    /// Only the start of the answer.
     Truncated(A),
-    /// Something that is no answer.
+    /// A malformed answer.
     Malformed,
     /// The operation was refused and had no effect.
     Refused(Fault),
-    /// The connection ended.
+    /// No answer; the connection was closed.
     Cut,
-    /// Nothing, for ever.
+    /// No answer, and the connection stays open.
     Never,
 }
 
 impl Faulty {
-    /// Shows no faults at first; `seed` fixes which answers are lost later. Callers wait as long as
-    /// [`HttpSettings`] has it by default.
+    /// Returns a platform without faults and with the default timeout of [`HttpSettings`]. `seed` determines which
+    /// answers are lost once such a fault is set.
     pub fn new(memory: Arc<Memory>, clock: Clock, seed: u64) -> Faulty {
         let timeout = HttpSettings::default().timeout;
         Faulty::with_timeout(memory, clock, seed, timeout)
     }
 
-    /// Like [`Faulty::new`], with callers that wait `timeout` ms for an answer.
+    /// Like [`Faulty::new`], with a timeout of `timeout` ms.
     pub fn with_timeout(memory: Arc<Memory>, clock: Clock, seed: u64, timeout: u64) -> Faulty {
         let injector = Mutex::new(Injector::new(seed));
         let shared = Arc::new(Shared {
@@ -61,22 +61,22 @@
         Faulty { shared, timeout }
     }
 
-    /// Shows these faults from now on.
+    /// Injects `faults` from now on.
     pub fn set(&self, faults: Faults) {
         self.shared.lock().set(self.shared.clock.now(), faults);
     }
 
-    /// The faults shown at present.
+    /// Returns the injected faults.
     pub fn faults(&self) -> Faults {
         self.shared.lock().faults()
     }
 
-    /// What was served so far.
+    /// Returns the counters of the calls so far.
     pub fn stats(&self) -> Stats {
         self.shared.lock().stats()
     }
 
-    /// The platform without faults, to look at what really took effect.
+    /// Returns the platform behind the faults, which shows what took effect.
     pub fn memory(&self) -> &Memory {
         &self.shared.memory
     }
@@ -101,25 +101,29 @@
         F: FnOnce() -> A + Send + 'static,
     {
         let plan = self.shared.lock().plan(self.shared.clock.now(), kind);
-        let (late, slow, fate) = match plan {
-            Plan::Run { late, slow, fate } => (late, slow, fate),
+        let (late, slow, delivery) = match plan {
+            Plan::Run {
+                late,
+                slow,
+                delivery,
+            } => (late, slow, delivery),
             Plan::Refuse(fault) => return Served::Refused(fault),
             Plan::Hang => return Served::Never,
         };
-        let Some(answer) = run_late(late, run).await else {
+        let Some(answer) = run_delayed(late, run).await else {
             return Served::Cut;
         };
         sleep(slow).await;
-        match fate {
-            Fate::Lost => Served::Cut,
-            Fate::Sent(Answers::Whole) => Served::Whole(answer),
-            Fate::Sent(Answers::Truncated) => Served::Truncated(answer),
-            Fate::Sent(Answers::Malformed) => Served::Malformed,
+        match delivery {
+            Delivery::Lost => Served::Cut,
+            Delivery::Sent(Answers::Whole) => Served::Whole(answer),
+            Delivery::Sent(Answers::Truncated) => Served::Truncated(answer),
+            Delivery::Sent(Answers::Malformed) => Served::Malformed,
         }
     }
 
-    /// What a caller that waits `timeout` ms makes of it.
-    async fn wait<A>(
+    /// Returns what a caller with the timeout sees of `served`.
+    async fn apply_timeout<A>(
         &self,
         kind: Kind,
         served: impl Future<Output = Served<A>>,
@@ -128,12 +132,14 @@
         match tokio::time::timeout(limit, served).await {
             Ok(Served::Whole(answer)) => Ok(answer),
             Ok(Served::Refused(fault)) => Err(fault),
-            Ok(Served::Truncated(_) | Served::Malformed | Served::Cut) => Err(lost(kind)),
+            Ok(Served::Truncated(_) | Served::Malformed | Served::Cut) => {
+                Err(fault_without_answer(kind))
+            }
             Ok(Served::Never) => {
                 sleep(self.timeout).await;
-                Err(lost(kind))
+                Err(fault_without_answer(kind))
             }
-            Err(_) => Err(lost(kind)),
+            Err(_) => Err(fault_without_answer(kind)),
         }
     }
 }
@@ -167,7 +173,7 @@
     fn table(&self, op: TableOp) -> Answer<'_, TableAnswer> {
         Box::pin(async move {
             let kind = table_kind(&op);
-            let answer = self.wait(kind, self.serve_table(op)).await;
+            let answer = self.apply_timeout(kind, self.serve_table(op)).await;
             answer.unwrap_or_else(TableAnswer::Failed)
         })
     }
@@ -175,14 +181,14 @@
     fn object(&self, op: ObjectOp) -> Answer<'_, ObjectAnswer> {
         Box::pin(async move {
             let kind = object_kind(&op);
-            let answer = self.wait(kind, self.serve_object(op)).await;
+            let answer = self.apply_timeout(kind, self.serve_object(op)).await;
             answer.unwrap_or_else(ObjectAnswer::Failed)
         })
     }
 }
 
-/// Runs it after `late` ms even if the caller is gone by then; nothing if the runtime is shutting down.
-async fn run_late<A, F>(late: u64, run: F) -> Option<A>
+/// Calls `run` after `late` ms, even if the caller has left by then; returns `None` if the runtime shuts down.
+async fn run_delayed<A, F>(late: u64, run: F) -> Option<A>
 where
     A: Send + 'static,
     F: FnOnce() -> A + Send + 'static,
@@ -203,7 +209,7 @@
     }
 }
 
-fn lost(kind: Kind) -> Fault {
+fn fault_without_answer(kind: Kind) -> Fault {
     match kind {
         Kind::Read => Fault::Unavailable,
         Kind::Write => Fault::Unknown,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for the platform and for upstreams, with faults on demand, for tests and trials.
+//! Stand-ins for the platform and for upstreams with fault injection, for tests and trials.
 //!
-//! Both run inside a test or bench ([`Faulty`], [`Upstream`]) or as the binary `laburnum-standin`.
+//! Both run in the process of a test or bench ([`Faulty`], [`Upstream`]) or as the binary `laburnum-standin`.
 
 pub mod body;
 pub mod cli;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `laburnum-standin`: small stand-ins for trials.
+//! `laburnum-standin`: the binary that runs a stand-in for the platform or for an upstream.
 
 use std::{process::ExitCode, sync::Arc};
 
@@ -39,7 +39,7 @@
         "event=listening command=platform address={}",
         server.address()
     );
-    stopped().await?;
+    wait_for_signal().await?;
     server.close();
     Ok(())
 }
@@ -50,12 +50,12 @@
         "event=listening command=upstream address={}",
         upstream.address()
     );
-    stopped().await?;
+    wait_for_signal().await?;
     upstream.drain().await;
     Ok(())
 }
 
-async fn stopped() -> std::io::Result<()> {
+async fn wait_for_signal() -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     tokio::select! {
         _ = terminate.recv() => Ok(()),
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP service, as `docs/PLATFORM.md` describes it, with faults.
+//! Stand-in for the platform's HTTP service (see `docs/PLATFORM.md`), with fault injection.
 //!
 //! Beside the platform's own paths it answers `GET /faults`, `PUT /faults` (both [`Faults`]) and
 //! `GET /stats` ([`crate::Stats`]).
@@ -18,18 +18,18 @@
 use tokio::net::TcpListener;
 
 use crate::{
-    body::{self, Body, Cut},
+    body::{self, Body, ConnectionCut},
     faults::Faults,
     faulty::{Faulty, Served},
-    server::{Conns, Server},
+    server::{ConnCounter, Server},
 };
 
-/// Reads and replaces the faults.
+/// Path at which the faults are read and replaced.
 pub const FAULTS: &str = "/faults";
-/// Reads what was served so far.
+/// Path of the counters of calls.
 pub const STATS: &str = "/stats";
 
-/// Most bytes of one request: a full commit of the largest values, as base64.
+/// Longest body of a request, in bytes: a full commit of the largest values, encoded in base64.
 const REQUEST_MAX: usize = 40 * 1024 * 1024;
 
 /// A running stand-in for the platform.
@@ -39,35 +39,35 @@
 }
 
 impl PlatformServer {
-    /// Serves `faulty` on `address`; port zero picks a free one.
+    /// Serves `faulty` on `address`; port zero selects a free port.
     pub async fn start(address: SocketAddr, faulty: Faulty) -> std::io::Result<PlatformServer> {
         let listener = TcpListener::bind(address).await?;
         let handler = move |_, request| handle(faulty.clone(), request);
-        let server = Server::start(listener, Conns::default(), handler)?;
+        let server = Server::start(listener, ConnCounter::default(), handler)?;
         Ok(PlatformServer { server })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Ends it and every connection to it; what it stored stays with its [`Faulty`].
+    /// Stops the server and closes every connection; its [`Faulty`] keeps the stored data.
     pub fn close(self) {
         self.server.close();
     }
 }
 
-type Answered = Result<Response<Body>, Cut>;
+type HandlerResult = Result<Response<Body>, ConnectionCut>;
 
-/// Why a request is not carried out.
+/// Why a request is rejected.
 enum Refusal {
     TooLong,
     Malformed(String),
     Cut,
 }
 
-async fn handle(faulty: Faulty, request: Request<Incoming>) -> Answered {
+async fn handle(faulty: Faulty, request: Request<Incoming>) -> HandlerResult {
     let (parts, body) = request.into_parts();
     let answered = match Limited::new(body, REQUEST_MAX).collect().await {
         Ok(body) => route(&faulty, &parts.method, parts.uri.path(), body.to_bytes()).await,
@@ -76,12 +76,12 @@
     };
     match answered {
         Ok(response) => Ok(response),
-        Err(Refusal::Cut) => Err(Cut),
+        Err(Refusal::Cut) => Err(ConnectionCut),
         Err(Refusal::TooLong) => {
             let why = format!("the request exceeds {REQUEST_MAX} bytes; split it");
-            Ok(error(StatusCode::PAYLOAD_TOO_LARGE, why))
+            Ok(error_response(StatusCode::PAYLOAD_TOO_LARGE, why))
         }
-        Err(Refusal::Malformed(why)) => Ok(error(StatusCode::BAD_REQUEST, why)),
+        Err(Refusal::Malformed(why)) => Ok(error_response(StatusCode::BAD_REQUEST, why)),
     }
 }
 
@@ -95,16 +95,16 @@
         (&Method::GET, STATS) => Ok(body::json(StatusCode::OK, &faulty.stats())),
         (&Method::GET, FAULTS) => Ok(body::json(StatusCode::OK, &faulty.faults())),
         (&Method::PUT, FAULTS) => {
-            let faults: Faults = read(&bytes)?;
+            let faults: Faults = parse(&bytes)?;
             faulty.set(faults);
             Ok(body::json(StatusCode::OK, &faults))
         }
         (&Method::POST, wire::TABLE_GET) => {
-            let GetBody { keys } = read(&bytes)?;
+            let GetBody { keys } = parse(&bytes)?;
             table(faulty, TableOp::Get { keys }).await
         }
         (&Method::POST, wire::TABLE_SCAN) => {
-            let scan: ScanBody = read(&bytes)?;
+            let scan: ScanBody = parse(&bytes)?;
             let op = TableOp::Scan {
                 prefix: scan.prefix,
                 after: scan.after,
@@ -113,26 +113,26 @@
             table(faulty, op).await
         }
         (&Method::POST, wire::TABLE_COMMIT) => {
-            let CommitBody { checks, writes } = read(&bytes)?;
+            let CommitBody { checks, writes } = parse(&bytes)?;
             let writes = writes.into_iter().map(Into::into).collect();
             table(faulty, TableOp::Commit { checks, writes }).await
         }
         (&Method::POST, wire::OBJECT_PUT) => {
-            let ObjectBody { name, bytes } = read(&bytes)?;
+            let ObjectBody { name, bytes } = parse(&bytes)?;
             let bytes = bytes.0;
             object(faulty, &name.clone(), ObjectOp::Put { name, bytes }).await
         }
         (&Method::POST, wire::OBJECT_GET) => {
-            let NameBody { name } = read(&bytes)?;
+            let NameBody { name } = parse(&bytes)?;
             object(faulty, &name.clone(), ObjectOp::Get { name }).await
         }
         (&Method::POST, wire::OBJECT_DELETE) => {
-            let NameBody { name } = read(&bytes)?;
+            let NameBody { name } = parse(&bytes)?;
             object(faulty, &name.clone(), ObjectOp::Delete { name }).await
         }
         _ => {
-            let why = format!("no {method} {path}; see docs/PLATFORM.md");
-            Ok(error(StatusCode::NOT_FOUND, why))
+            let why = format!("unknown call {method} {path}; see docs/PLATFORM.md");
+            Ok(error_response(StatusCode::NOT_FOUND, why))
         }
     }
 }
@@ -143,7 +143,7 @@
         TableAnswer::Rows(rows) => body::json(StatusCode::OK, &RowsBody::from(rows)),
         TableAnswer::Conflict(rows) => body::json(StatusCode::CONFLICT, &RowsBody::from(rows)),
         TableAnswer::Committed => body::json(StatusCode::OK, &DoneBody { done: true }),
-        TableAnswer::Failed(fault) => refuse(fault),
+        TableAnswer::Failed(fault) => fault_response(fault),
     })
     .await
 }
@@ -158,7 +158,7 @@
         ObjectAnswer::Done => body::json(StatusCode::OK, &DoneBody { done: true }),
         ObjectAnswer::Bytes(bytes) => found(StatusCode::OK, Some(Base64(bytes))),
         ObjectAnswer::Absent => found(StatusCode::NOT_FOUND, None),
-        ObjectAnswer::Failed(fault) => refuse(fault),
+        ObjectAnswer::Failed(fault) => fault_response(fault),
     })
     .await
 }
@@ -169,16 +169,16 @@
 ) -> Result<Response<Body>, Refusal> {
     match served {
         Served::Whole(answer) => Ok(encode(answer)),
-        Served::Truncated(answer) => Ok(body::cut(encode(answer))),
+        Served::Truncated(answer) => Ok(body::truncate(encode(answer))),
         Served::Malformed => Ok(body::text(StatusCode::OK, "<html>\n".to_owned())),
-        Served::Refused(fault) => Ok(refuse(fault)),
+        Served::Refused(fault) => Ok(fault_response(fault)),
         Served::Cut => Err(Refusal::Cut),
-        // Ends when the caller hangs up.
+        // The server drops this future when the caller disconnects.
         Served::Never => pending().await,
     }
 }
 
-fn refuse(fault: Fault) -> Response<Body> {
+fn fault_response(fault: Fault) -> Response<Body> {
     let why = fault.to_string();
     match fault {
         Fault::Throttled { after } => {
@@ -200,12 +200,12 @@
             };
             body::json(StatusCode::SERVICE_UNAVAILABLE, &body)
         }
-        Fault::Unknown => error(StatusCode::INTERNAL_SERVER_ERROR, why),
-        Fault::Invalid(why) => error(StatusCode::BAD_REQUEST, why),
+        Fault::Unknown => error_response(StatusCode::INTERNAL_SERVER_ERROR, why),
+        Fault::Invalid(why) => error_response(StatusCode::BAD_REQUEST, why),
     }
 }
 
-fn error(status: StatusCode, error: String) -> Response<Body> {
+fn error_response(status: StatusCode, error: String) -> Response<Body> {
     let body = ErrorBody {
         error,
         ..ErrorBody::default()
@@ -213,6 +213,6 @@
     body::json(status, &body)
 }
 
-fn read<T: DeserializeOwned>(bytes: &Bytes) -> Result<T, Refusal> {
+fn parse<T: DeserializeOwned>(bytes: &Bytes) -> Result<T, Refusal> {
     serde_json::from_slice(bytes).map_err(|it| Refusal::Malformed(it.to_string()))
 }
--- a/crates/standin/src/ports.rs
+++ b/crates/standin/src/ports.rs
@@ -1,4 +1,4 @@
-//! Ports for programs under test.
+//! Unused ports for programs under test.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket},
@@ -6,24 +6,23 @@
     sync::atomic::{AtomicU32, Ordering},
 };
 
-/// Below the ports that the system gives to outgoing connections, so that no connection of another test has one.
+/// Port range below the ephemeral ports of outgoing connections, so that it does not collide with them.
 const PORTS: Range<u32> = 10_000..32_000;
-/// Distance between the first ports of processes whose ids follow one another, so that tests that run side by side
-/// meet late.
+/// Distance between the first ports of processes with consecutive ids, so that parallel tests start far apart.
 const STRIDE: u32 = 97;
 
-/// A loopback address that nothing listens at, by TCP or UDP, and that this process has not been given before.
+/// Returns a loopback address that is unbound for TCP and UDP, a different one at each call within a process.
 ///
 /// # Panics
 ///
-/// If all ports of the range are taken.
+/// Panics if all ports of the range are taken.
 pub fn free() -> SocketAddr {
-    static GIVEN: AtomicU32 = AtomicU32::new(0);
+    static NEXT: AtomicU32 = AtomicU32::new(0);
     let span = PORTS.end - PORTS.start;
     let first = std::process::id().wrapping_mul(STRIDE);
     let addresses = (0..span).map(|_| {
-        let given = GIVEN.fetch_add(1, Ordering::SeqCst);
-        let port = PORTS.start + first.wrapping_add(given) % span;
+        let offset = NEXT.fetch_add(1, Ordering::SeqCst);
+        let port = PORTS.start + first.wrapping_add(offset) % span;
         SocketAddr::from((Ipv4Addr::LOCALHOST, port as u16))
     });
     let mut unused = addresses
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server whose connections can be cut, drained and told apart.
+//! HTTP/1.1 server whose connections are numbered and can be cut or drained.
 
 use std::{
     future::Future,
@@ -20,17 +20,17 @@
     task::JoinSet,
 };
 
-use crate::body::{Body, Cut};
+use crate::body::{Body, ConnectionCut};
 
-/// A connection, counted from 1 in the order of acceptance.
+/// Number of a connection, from 1 in the order of acceptance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Conn(pub u64);
+pub struct ConnId(pub u64);
 
-/// Counts connections over several lives of one server.
+/// Counter of connections, shared by consecutive servers of one stand-in.
 #[derive(Clone, Debug, Default)]
-pub struct Conns(Arc<AtomicU64>);
+pub struct ConnCounter(Arc<AtomicU64>);
 
-/// A running server. Dropping it is like [`Server::close`], so that whoever owns it may be aborted.
+/// A running server. Dropping it has the effect of [`Server::close`], so its owner may be aborted.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -38,32 +38,36 @@
     tasks: JoinSet<()>,
 }
 
-/// Milliseconds between two tries to accept while the process has no free descriptor.
+/// Pause before the next accept after a failed one, in ms, as when the process has no free descriptor.
 const ACCEPT_RETRY_MS: u64 = 10;
 
-impl Conns {
-    /// The newest connection.
-    pub fn last(&self) -> Conn {
-        Conn(self.0.load(Ordering::SeqCst))
+impl ConnCounter {
+    /// Returns the newest connection.
+    pub fn newest(&self) -> ConnId {
+        ConnId(self.0.load(Ordering::SeqCst))
     }
 
-    fn next(&self) -> Conn {
-        Conn(self.0.fetch_add(1, Ordering::SeqCst) + 1)
+    fn next(&self) -> ConnId {
+        ConnId(self.0.fetch_add(1, Ordering::SeqCst) + 1)
     }
 }
 
 impl Server {
-    /// Serves `listener`. A handler that answers [`Cut`] ends its connection; a handler is dropped when
-    /// its caller hangs up.
-    pub fn start<F, A>(listener: TcpListener, conns: Conns, handler: F) -> std::io::Result<Server>
+    /// Serves `listener`. A handler that returns [`ConnectionCut`] closes its connection; a handler is dropped when its
+    /// caller disconnects.
+    pub fn start<F, A>(
+        listener: TcpListener,
+        counter: ConnCounter,
+        handler: F,
+    ) -> std::io::Result<Server>
     where
-        F: Fn(Conn, Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-        A: Future<Output = Result<Response<Body>, Cut>> + Send + 'static,
+        F: Fn(ConnId, Request<Incoming>) -> A + Clone + Send + Sync + 'static,
+        A: Future<Output = Result<Response<Body>, ConnectionCut>> + Send + 'static,
     {
         let address = listener.local_addr()?;
         let (stop, stopped) = watch::channel(false);
         let mut tasks = JoinSet::new();
-        tasks.spawn(accept(listener, conns, stopped, handler));
+        tasks.spawn(accept(listener, counter, stopped, handler));
         Ok(Server {
             address,
             stop,
@@ -71,22 +75,22 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops listening and ends every connection, as a process that dies does.
+    /// Stops listening and closes every connection, as a killed process does.
     pub fn close(mut self) {
         self.tasks.abort_all();
     }
 
-    /// Like [`Server::close`], and returns once the address is free again.
-    pub async fn free(mut self) {
+    /// Like [`Server::close`], and waits until the address is free again.
+    pub async fn close_and_wait(mut self) {
         self.tasks.shutdown().await;
     }
 
-    /// Stops listening and returns once every request in progress is answered.
+    /// Stops listening and waits until every request in progress is answered.
     pub async fn drain(mut self) {
         self.stop.send_replace(true);
         while self.tasks.join_next().await.is_some() {}
@@ -95,14 +99,14 @@
 
 async fn accept<F, A>(
     listener: TcpListener,
-    conns: Conns,
+    counter: ConnCounter,
     mut stopped: watch::Receiver<bool>,
     handler: F,
 ) where
-    F: Fn(Conn, Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Result<Response<Body>, Cut>> + Send + 'static,
+    F: Fn(ConnId, Request<Incoming>) -> A + Clone + Send + Sync + 'static,
+    A: Future<Output = Result<Response<Body>, ConnectionCut>> + Send + 'static,
 {
-    // Dropped with this task, and every connection with it.
+    // Aborts every connection when this task is dropped.
     let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -114,24 +118,28 @@
             continue;
         };
         while connections.try_join_next().is_some() {}
-        let conn = conns.next();
+        let conn = counter.next();
         connections.spawn(serve(stream, conn, stopped.clone(), handler.clone()));
     }
     drop(listener);
     while connections.join_next().await.is_some() {}
 }
 
-async fn serve<F, A>(stream: TcpStream, conn: Conn, mut stopped: watch::Receiver<bool>, handler: F)
-where
-    F: Fn(Conn, Request<Incoming>) -> A,
-    A: Future<Output = Result<Response<Body>, Cut>>,
+async fn serve<F, A>(
+    stream: TcpStream,
+    conn: ConnId,
+    mut stopped: watch::Receiver<bool>,
+    handler: F,
+) where
+    F: Fn(ConnId, Request<Incoming>) -> A,
+    A: Future<Output = Result<Response<Body>, ConnectionCut>>,
 {
-    // Latency only; an error shows up with the first byte.
+    // Affects only latency; an error of the connection shows at the first read.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| handler(conn, request));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    // Serving ends with an error whenever the stand-in or the caller cuts the connection.
+    // Errors are ignored: they occur whenever the stand-in or the caller closes the connection.
     tokio::select! {
         _ = &mut connection => return,
         _ = stopped.wait_for(|it| *it) => {}
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -1,7 +1,7 @@
-//! A stand-in upstream: slots, cold start, drain, load shedding, crashes and misbehaviour.
+//! Stand-in upstream with slots, cold start, drain, load shedding, crashes and faults.
 //!
-//! Every path but those of [`work`] is a request to run; its answer repeats what it was asked. Requests
-//! are tied to the [`Ledger`] by their headers [`work::REQUEST_ID`] and [`work::IDEMPOTENCY_KEY`].
+//! Requests to any path other than the control paths of [`work`] are run; the answer echoes the request. The [`Ledger`]
+//! records runs by the header fields [`work::REQUEST_ID`] and [`work::IDEMPOTENCY_KEY`].
 
 use std::{
     net::SocketAddr,
@@ -21,7 +21,7 @@
 };
 
 use crate::{
-    server::{Conn, Conns, Server},
+    server::{ConnCounter, ConnId, Server},
     upstream::announce::Lease,
 };
 
@@ -35,32 +35,32 @@
     ledger::Ledger,
 };
 
-/// How an upstream is made.
+/// Settings of an upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamSettings {
-    /// Where it listens; port zero picks a free one. Default: 127.0.0.1:0.
+    /// Listen address; port zero selects a free port. Default: 127.0.0.1:0.
     pub listen: SocketAddr,
-    /// The service it serves. Default: drafting-desk.
+    /// Service of the upstream. Default: drafting-desk.
     pub service: Name,
-    /// Admin address of the node beside it, to announce itself to. Default: none.
+    /// Admin address of the node that receives the announcements. Default: none.
     pub node: Option<SocketAddr>,
     /// Token that the node accepts from other hosts. Default: none.
     pub token: Option<Token>,
-    /// Requests that it runs at once. Default: 6.
+    /// Number of requests that run at once. Default: 6.
     pub slots: u16,
-    /// Requests that wait for a slot before others are shed. Default: 0.
+    /// Number of requests that may wait for a slot; further ones are shed. Default: 0.
     pub queue: u16,
-    /// Least service time, in milliseconds. Default: 0.
+    /// Least service time, in ms. Default: 0.
     pub run: u64,
-    /// Most milliseconds added to it, evenly spread. Default: 0.
+    /// Upper bound of the uniform random time added to it, in ms. Default: 0.
     pub spread: u64,
-    /// Milliseconds from a start until it is ready. Default: 0.
+    /// Warm-up time after a start, in ms. Default: 0.
     pub cold: u64,
-    /// Milliseconds from a crash until it listens again. Default: 500.
+    /// Time from a crash to the next start, in ms. Default: 500.
     pub restart: u64,
-    /// Milliseconds between two announcements. Default: 1000.
+    /// Interval between announcements, in ms. Default: 1000.
     pub heartbeat: u64,
-    /// Fixes its random choices. Default: 1.
+    /// Seed of random choices. Default: 1.
     pub seed: u64,
 }
 
@@ -92,26 +92,26 @@
     }
 }
 
-/// Where an upstream stands in its life.
+/// Phase of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Its cold start is not over; it refuses requests.
+    /// The upstream warms up and refuses requests.
     Warming,
-    /// It runs requests.
+    /// The upstream runs requests.
     Ready,
-    /// It refuses new requests and completes those in progress.
+    /// The upstream refuses new requests and completes those in progress.
     Draining,
 }
 
-/// What the health endpoint says.
+/// Answer of the health endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
-    /// Whether it takes requests.
+    /// Reported phase.
     pub phase: Phase,
     /// Slots in use.
     pub busy: u16,
-    /// Slots in all.
+    /// Total number of slots.
     pub slots: u16,
 }
 
@@ -124,14 +124,14 @@
     task: JoinHandle<()>,
 }
 
-/// What every connection of an upstream shares.
+/// State shared by the connections of an upstream.
 #[derive(Debug)]
 pub(crate) struct Shared {
     settings: UpstreamSettings,
     phase: watch::Sender<Phase>,
     slots: Arc<Semaphore>,
     queue: Semaphore,
-    conns: Conns,
+    conns: ConnCounter,
     crash: Notify,
     state: Mutex<State>,
 }
@@ -141,30 +141,30 @@
     behaviour: Behaviour,
     ledger: Ledger,
     rng: ChaCha8Rng,
-    /// Requests that run at present.
+    /// Running requests.
     runs: JoinSet<()>,
-    /// The newest silent connection.
-    silent: Conn,
+    /// Newest connection that is never answered, as are all older ones.
+    silent_until: ConnId,
 }
 
-/// Milliseconds between two tries to listen again after a crash.
+/// Interval between attempts to bind the address after a crash, in ms.
 const REBIND_MS: u64 = 20;
 
-/// How one life of an upstream ended.
-enum End {
+/// Why an upstream's server ended.
+enum StopReason {
     Crashed,
     Stopped,
 }
 
 impl Upstream {
-    /// Listens and, if it has a node beside it, announces itself there.
+    /// Starts to listen and, if a node is set, announces the upstream to it.
     pub async fn start(settings: impl Into<UpstreamSettings>) -> std::io::Result<Upstream> {
         let settings = settings.into();
         let listener = TcpListener::bind(settings.listen).await?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::new(settings));
         let (stop, stopped) = watch::channel(false);
-        let task = tokio::spawn(live(shared.clone(), listener, address, stopped));
+        let task = tokio::spawn(supervise(shared.clone(), listener, address, stopped));
         Ok(Upstream {
             address,
             shared,
@@ -173,50 +173,50 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Misbehaves so from now on.
+    /// Applies `behaviour` from now on.
     pub fn set(&self, behaviour: Behaviour) {
         self.shared.set(behaviour);
     }
 
-    /// Never answers on the connections open at present; new ones work.
+    /// Stops answering on the connections that are open now; new ones work.
     pub fn silence(&self) {
         self.shared.silence();
     }
 
-    /// Dies as a process does and comes back after the restart delay; does nothing while it is down.
+    /// Simulates a crash and a start after the restart delay. Has no effect while the upstream is down.
     pub fn crash(&self) {
         self.shared.crash.notify_one();
     }
 
-    /// What the health endpoint says.
+    /// Returns the answer of the health endpoint.
     pub fn health(&self) -> Health {
         self.shared.health()
     }
 
-    /// What it ran and refused so far.
+    /// Returns the ledger of the requests so far.
     pub fn ledger(&self) -> Ledger {
         self.shared.ledger()
     }
 
-    /// Refuses new requests from now on and withdraws its announcement.
+    /// Refuses new requests from now on and withdraws the announcement.
     pub fn leave(&self) {
         self.shared.phase.send_replace(Phase::Draining);
     }
 
-    /// Leaves, completes every request in progress and ends.
+    /// Leaves, completes every request in progress and stops.
     pub async fn drain(self) {
         self.leave();
         self.stop.send_replace(true);
-        // It can only fail by a panic, which was reported by then.
+        // The task fails only by a panic, which is reported by then.
         let _ = self.task.await;
     }
 
-    /// Ends at once, as a process that is killed: nothing is withdrawn, completed or answered.
+    /// Stops at once, as a killed process does: without a withdrawal, completions or answers.
     pub fn close(self) {
         self.task.abort();
         self.shared.lock().runs.abort_all();
@@ -229,14 +229,14 @@
             phase: watch::Sender::new(Phase::Warming),
             slots: Arc::new(Semaphore::new(settings.slots.into())),
             queue: Semaphore::new(settings.queue.into()),
-            conns: Conns::default(),
+            conns: ConnCounter::default(),
             crash: Notify::new(),
             state: Mutex::new(State {
                 behaviour: Behaviour::default(),
                 ledger: Ledger::default(),
                 rng: ChaCha8Rng::seed_from_u64(settings.seed),
                 runs: JoinSet::new(),
-                silent: Conn::default(),
+                silent_until: ConnId::default(),
             }),
             settings,
         }
@@ -259,11 +259,11 @@
     }
 
     fn silence(&self) {
-        self.lock().silent = self.conns.last();
+        self.lock().silent_until = self.conns.newest();
     }
 
-    fn silent(&self, conn: Conn) -> bool {
-        conn <= self.lock().silent
+    fn is_silent(&self, conn: ConnId) -> bool {
+        conn <= self.lock().silent_until
     }
 
     fn lease(&self, address: SocketAddr) -> Option<Lease> {
@@ -282,8 +282,8 @@
     }
 }
 
-/// One life after another until it is stopped.
-async fn live(
+/// Runs the upstream and restarts it after each crash, until it is stopped.
+async fn supervise(
     shared: Arc<Shared>,
     listener: TcpListener,
     address: SocketAddr,
@@ -291,9 +291,9 @@
 ) {
     let mut listener = listener;
     loop {
-        match life(&shared, listener, address, &mut stopped).await {
-            End::Stopped => return,
-            End::Crashed => {}
+        match run_until_end(&shared, listener, address, &mut stopped).await {
+            StopReason::Stopped => return,
+            StopReason::Crashed => {}
         }
         tokio::time::sleep(Duration::from_millis(shared.settings.restart)).await;
         shared.phase.send_replace(Phase::Warming);
@@ -301,47 +301,47 @@
     }
 }
 
-async fn life(
+async fn run_until_end(
     shared: &Arc<Shared>,
     listener: TcpListener,
     address: SocketAddr,
     stopped: &mut watch::Receiver<bool>,
-) -> End {
+) -> StopReason {
     let handler_shared = shared.clone();
     let handler = move |conn, request| work::handle(handler_shared.clone(), conn, request);
     let Ok(server) = Server::start(listener, shared.conns.clone(), handler) else {
-        return End::Crashed;
+        return StopReason::Crashed;
     };
     let mut tasks = JoinSet::new();
-    let warming = tasks.spawn(warm(shared.clone()));
+    let warming = tasks.spawn(warm_up(shared.clone()));
     if let Some(lease) = shared.lease(address) {
         tasks.spawn(announce::run(lease, shared.phase.subscribe()));
     }
     let end = tokio::select! {
-        () = shared.crash.notified() => End::Crashed,
-        _ = stopped.wait_for(|it| *it) => End::Stopped,
+        () = shared.crash.notified() => StopReason::Crashed,
+        _ = stopped.wait_for(|it| *it) => StopReason::Stopped,
     };
     match end {
-        End::Crashed => {
+        StopReason::Crashed => {
             tasks.abort_all();
             let mut runs = std::mem::take(&mut shared.lock().runs);
             runs.shutdown().await;
-            server.free().await;
+            server.close_and_wait().await;
             shared.lock().ledger.crash();
-            // Two requests may have asked for this one crash; the second must not crash the next life.
+            // A second request may have triggered the same crash; that must not crash the restarted upstream.
             let _ = tokio::time::timeout(Duration::ZERO, shared.crash.notified()).await;
         }
-        End::Stopped => {
+        StopReason::Stopped => {
             warming.abort();
             server.drain().await;
-            // The announcement ends by itself once it is withdrawn.
+            // The announcing task ends once it has sent the withdrawal.
             while tasks.join_next().await.is_some() {}
         }
     }
     end
 }
 
-async fn warm(shared: Arc<Shared>) {
+async fn warm_up(shared: Arc<Shared>) {
     tokio::time::sleep(Duration::from_millis(shared.settings.cold)).await;
     shared.phase.send_if_modified(|it| {
         let warming = *it == Phase::Warming;
@@ -356,7 +356,7 @@
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
-            // Somebody else holds the port for a moment; a supervisor would also try again.
+            // Another program may use the port for a moment.
             Err(_) => tokio::time::sleep(Duration::from_millis(REBIND_MS)).await,
         }
     }
--- a/crates/standin/src/upstream/announce.rs
+++ b/crates/standin/src/upstream/announce.rs
@@ -1,4 +1,4 @@
-//! The upstream's announcement to the node beside it, renewed as a lease.
+//! Announces the upstream to the node beside it, and renews the announcement as a lease.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,23 +14,23 @@
 
 use crate::upstream::Phase;
 
-/// Where a node takes announcements.
+/// Path at which a node receives announcements.
 pub const PATH: &str = "/v1/upstream";
 
-/// Where and how often to announce.
+/// Settings of the announcements.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    /// The node's admin address.
+    /// Admin address of the node.
     pub node: SocketAddr,
     /// Token that the node accepts from other hosts.
     pub token: Option<Token>,
-    /// Milliseconds between two heartbeats, and the longest wait for one answer.
+    /// Interval between heartbeats and timeout of each, in ms.
     pub heartbeat: u64,
-    /// What to announce; `ready` follows the phase.
+    /// Announced body; `ready` is set from the phase.
     pub body: AnnounceBody,
 }
 
-/// Announces each phase at once and renews it until the upstream drains; then withdraws it.
+/// Announces each change of the phase at once and renews the announcement until the upstream drains, then withdraws it.
 pub async fn run(lease: Lease, mut phases: watch::Receiver<Phase>) {
     let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
     let heartbeat = Duration::from_millis(lease.heartbeat);
@@ -39,11 +39,11 @@
         let request = match phase {
             Phase::Draining => request(&lease, Method::DELETE, Bytes::new()),
             Phase::Warming | Phase::Ready => {
-                request(&lease, Method::PUT, announcement(&lease, phase))
+                request(&lease, Method::PUT, announcement_body(&lease, phase))
             }
         };
         if let Some(request) = request {
-            // A lost heartbeat is made good by the next, a lost withdrawal by the lease's end.
+            // The next heartbeat replaces a lost one, and the lease's expiry a lost withdrawal.
             let _ = tokio::time::timeout(heartbeat, client.request(request)).await;
         }
         if phase == Phase::Draining {
@@ -56,7 +56,7 @@
     }
 }
 
-fn announcement(lease: &Lease, phase: Phase) -> Bytes {
+fn announcement_body(lease: &Lease, phase: Phase) -> Bytes {
     let ready = phase == Phase::Ready;
     let body = AnnounceBody {
         ready,
--- a/crates/standin/src/upstream/behaviour.rs
+++ b/crates/standin/src/upstream/behaviour.rs
@@ -1,18 +1,18 @@
-//! How an upstream misbehaves at present.
+//! Injected faults of an upstream.
 
 use serde::{Deserialize, Serialize};
 
-/// How an upstream misbehaves at present. The default is a healthy one.
+/// Injected faults of an upstream. The default injects none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Behaviour {
-    /// Milliseconds added to each service time. Default: 0.
+    /// Time added to each service time, in ms. Default: 0.
     pub slow: u64,
-    /// Milliseconds from a run's end, its slot free again, to its answer. Default: 0.
+    /// Delay from the end of a run, when its slot is released, to its answer, in ms. Default: 0.
     pub late: u64,
     /// Whether requests fail without being run. Default: no.
     pub failing: Failing,
-    /// What becomes of answers. Default: whole.
+    /// How answers are sent. Default: whole.
     pub replies: Replies,
 }
 
@@ -20,20 +20,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failing {
-    /// They do not.
+    /// Requests are run.
     #[default]
     No,
-    /// They do, and the health says so.
+    /// Requests fail, and the health endpoint reports the upstream as not ready.
     Open,
-    /// They do, and the health still says ready.
+    /// Requests fail, but the health endpoint still reports the upstream as ready.
     Lying,
 }
 
-/// What becomes of answers.
+/// How answers are sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Replies {
-    /// They arrive.
+    /// The answer is complete.
     #[default]
     Whole,
     /// The connection ends within the body.
--- a/crates/standin/src/upstream/ledger.rs
+++ b/crates/standin/src/upstream/ledger.rs
@@ -1,30 +1,30 @@
-//! What an upstream ran, to judge duplicates and wrong refusals by.
+//! Record of the requests that an upstream ran, from which tests detect duplicates and wrong refusals.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Most runs kept; later ones are only counted.
+/// Most recorded runs; later ones are only counted.
 pub const RUNS_MAX: usize = 1_000_000;
 
-/// What an upstream ran and what it refused. Survives the crashes that the stand-in plays.
+/// Runs and refusals of an upstream. Survives the upstream's simulated crashes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     /// Runs of requests that carried a request id or an idempotency key, in order of their start.
     pub runs: Vec<Run>,
-    /// Runs beyond [`RUNS_MAX`]; not zero means that `runs` proves nothing any more.
+    /// Runs beyond [`RUNS_MAX`]; if not zero, `runs` is incomplete.
     pub omitted: u64,
     /// Runs of requests that carried neither.
     pub plain: u64,
     /// Requests refused as not run.
     pub shed: u64,
-    /// Requests whose caller hung up before they ran.
+    /// Requests whose caller disconnected before they ran.
     pub cancelled: u64,
-    /// Requests answered by an error without being run.
+    /// Requests answered with an error without being run.
     pub failed: u64,
 }
 
-/// One run.
+/// Run of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
     /// The request's id, from `x-request-id`.
@@ -33,49 +33,49 @@
     pub key: Option<String>,
     /// Method and path.
     pub line: String,
-    /// How far it came.
+    /// Progress of the run.
     pub state: RunState,
 }
 
-/// How far a run came.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunState {
-    /// It is in progress.
+    /// The run is in progress.
     Started,
-    /// It was completed, whether or not its answer arrived.
+    /// The run is complete, whether or not its answer arrived.
     Finished,
-    /// The upstream crashed before its end.
+    /// The upstream crashed during the run.
     Crashed,
 }
 
-/// A run in the ledger.
+/// Index of a run in the ledger; `None` if it is only counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RunKey(Option<usize>);
+pub struct RunIndex(Option<usize>);
 
 impl Ledger {
-    /// Notes that a run starts.
-    pub fn start(&mut self, run: Run) -> RunKey {
+    /// Records the start of a run.
+    pub fn start(&mut self, run: Run) -> RunIndex {
         if run.request.is_none() && run.key.is_none() {
             self.plain += 1;
-            return RunKey(None);
+            return RunIndex(None);
         }
         if self.runs.len() == RUNS_MAX {
             self.omitted += 1;
-            return RunKey(None);
+            return RunIndex(None);
         }
         self.runs.push(run);
-        RunKey(Some(self.runs.len() - 1))
+        RunIndex(Some(self.runs.len() - 1))
     }
 
-    /// Notes that a run is complete.
-    pub fn finish(&mut self, run: RunKey) {
+    /// Records the end of a run.
+    pub fn finish(&mut self, run: RunIndex) {
         if let Some(idx) = run.0 {
             self.runs[idx].state = RunState::Finished;
         }
     }
 
-    /// Notes that everything in progress ended unfinished.
+    /// Marks every run in progress as crashed.
     pub fn crash(&mut self) {
         let started = |it: &&mut Run| it.state == RunState::Started;
         for run in self.runs.iter_mut().filter(started) {
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Whether a request of this id was run, wholly or in part.
+    /// Returns whether a request with this id was run, completely or in part.
     pub fn ran(&self, request: &str) -> bool {
         let same = |it: &Run| it.request.as_deref() == Some(request);
         self.runs.iter().any(same)
     }
 
-    /// Idempotency keys that were run more than once, with how often.
+    /// Returns the idempotency keys that were run more than once, each with its number of runs.
     pub fn repeated(&self) -> Vec<(&str, usize)> {
         let mut counts = BTreeMap::new();
         for key in self.runs.iter().filter_map(|it| it.key.as_deref()) {
@@ -98,7 +98,7 @@
         counts.into_iter().filter(|(_, count)| *count > 1).collect()
     }
 
-    /// Takes in the ledger of another upstream, to judge a whole service.
+    /// Adds the ledger of another upstream, such as one of the same service.
     pub fn merge(&mut self, other: Ledger) {
         self.runs.extend(other.runs);
         self.omitted += other.omitted;
--- a/crates/standin/src/upstream/work.rs
+++ b/crates/standin/src/upstream/work.rs
@@ -1,4 +1,4 @@
-//! A request's way through an upstream.
+//! Request handling of an upstream: control paths, admission, runs and answers.
 
 use std::{future::pending, sync::Arc, time::Duration};
 
@@ -10,74 +10,75 @@
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 
 use crate::{
-    body::{self, Body, Cut},
-    server::Conn,
+    body::{self, Body, ConnectionCut},
+    server::ConnId,
     upstream::{
         Behaviour, Failing, Health, Phase, Replies, Shared,
         ledger::{Run, RunState},
     },
 };
 
-/// Reads [`Health`].
+/// Path of [`Health`].
 pub const HEALTH: &str = "/health";
-/// Reads the [`crate::Ledger`].
+/// Path of the [`crate::Ledger`].
 pub const LEDGER: &str = "/ledger";
-/// Reads and replaces the [`Behaviour`].
+/// Path at which the [`Behaviour`] is read and replaced.
 pub const FAULTS: &str = "/faults";
-/// Begins to drain.
+/// Path that starts the drain.
 pub const DRAIN: &str = "/drain";
-/// Silences the connections open at present.
+/// Path that silences the connections that are open now.
 pub const SILENCE: &str = "/silence";
 
-/// Ties a run to its caller's request.
+/// Header field with the id of the caller's request.
 pub const REQUEST_ID: &str = "x-request-id";
-/// Ties a run to whatever must not run twice.
+/// Header field with the key of an operation that must not run twice.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Crashes the upstream once the request starts to run, if its value is `1`.
+/// Header field that crashes the upstream at the start of the run if its value is `1`.
 pub const CRASH: &str = "x-crash";
-/// Milliseconds that are left for the request; one that still waits by then is refused as not run.
+/// Header field with the time left for the request, in ms; one that waits longer is refused as not run.
 pub const DEADLINE: &str = "laburnum-deadline";
-/// Says `not-run` on refusals.
+/// Header field that is `not-run` in refusals.
 pub const OUTCOME: &str = "laburnum-outcome";
 
-/// Most bytes of a request's body.
+/// Longest body of a request, in bytes.
 const REQUEST_MAX: usize = 16 * 1024 * 1024;
 
-/// Why a request is refused whose deadline is over.
-const EXPIRED: &str = "the deadline is over; send it again with more time";
-/// A day.
+/// Text of the refusal of an expired request.
+const EXPIRED: &str = "the deadline has passed; send the request again with a later one";
+/// Deadline of requests without one, in ms: a day.
 const NO_DEADLINE_MS: u64 = 24 * 3_600 * 1_000;
 
-type Answered = Result<Response<Body>, Cut>;
+type HandlerResult = Result<Response<Body>, ConnectionCut>;
 
-/// Whether a request may run.
+/// Admission decision.
 enum Admission {
     Run(OwnedSemaphorePermit),
     Shed(&'static str),
     Fail,
 }
 
-/// Counts a request whose caller hangs up before it runs: its handler is dropped then.
-struct Arrival<'a> {
+/// Counts the request as cancelled if its handler is dropped before the admission decision, as when its caller
+/// disconnects.
+struct CancellationGuard<'a> {
     shared: &'a Shared,
     decided: bool,
 }
 
-/// Handles one request of the connection `conn`.
+/// Handles one request on the connection `conn`.
 pub(crate) async fn handle(
     shared: Arc<Shared>,
-    conn: Conn,
+    conn: ConnId,
     request: Request<Incoming>,
-) -> Answered {
-    if shared.silent(conn) {
-        return shared.hush().await;
+) -> HandlerResult {
+    if shared.is_silent(conn) {
+        return shared.hold_unanswered().await;
     }
     let (parts, incoming) = request.into_parts();
     match (&parts.method, parts.uri.path()) {
         (&Method::GET, HEALTH) => Ok(body::json(StatusCode::OK, &shared.health())),
         (&Method::GET, LEDGER) => Ok(body::json(StatusCode::OK, &shared.ledger())),
         (&Method::GET, FAULTS) => Ok(body::json(StatusCode::OK, &shared.behaviour())),
-        (&Method::PUT, FAULTS) => Ok(behave(&shared, read(incoming).await?)),
+        (&Method::PUT, FAULTS) => Ok(set_behaviour(&shared, read_body(incoming).await?)),
         (&Method::POST, DRAIN) => {
             shared.phase.send_replace(Phase::Draining);
             Ok(body::json(StatusCode::OK, &shared.health()))
@@ -86,11 +87,11 @@
             shared.silence();
             Ok(body::json(StatusCode::OK, &shared.health()))
         }
-        _ => work(&shared, conn, parts, incoming).await,
+        _ => run(&shared, conn, parts, incoming).await,
     }
 }
 
-fn behave(shared: &Shared, bytes: Bytes) -> Response<Body> {
+fn set_behaviour(shared: &Shared, bytes: Bytes) -> Response<Body> {
     match serde_json::from_slice::<Behaviour>(&bytes) {
         Ok(behaviour) => {
             shared.set(behaviour);
@@ -100,17 +101,22 @@
     }
 }
 
-async fn work(shared: &Arc<Shared>, conn: Conn, parts: Parts, incoming: Incoming) -> Answered {
-    let mut arrival = Arrival {
+async fn run(
+    shared: &Arc<Shared>,
+    conn: ConnId,
+    parts: Parts,
+    incoming: Incoming,
+) -> HandlerResult {
+    let mut guard = CancellationGuard {
         shared,
         decided: false,
     };
-    let bytes = read(incoming).await?;
-    let admission = admit_in_time(shared, deadline(&parts.headers)).await;
-    arrival.decided = true;
+    let bytes = read_body(incoming).await?;
+    let admission = admit_before_deadline(shared, time_left(&parts.headers)).await;
+    guard.decided = true;
     let permit = match admission {
         Admission::Run(permit) => permit,
-        Admission::Shed(why) => return Ok(shed(shared, why)),
+        Admission::Shed(why) => return Ok(shed_response(shared, why)),
         Admission::Fail => {
             shared.lock().ledger.failed += 1;
             let why = "the upstream fails every request\n".to_owned();
@@ -123,29 +129,29 @@
         parts.uri,
         String::from_utf8_lossy(&bytes)
     );
-    let done = start(shared, &parts, permit);
-    // Without a sender the upstream crashed, and this connection ends with it.
+    let done = start_run(shared, &parts, permit);
+    // The sender is dropped only if the upstream crashes, which also closes this connection.
     if done.await.is_err() {
-        return Err(Cut);
+        return Err(ConnectionCut);
     }
     let behaviour = shared.behaviour();
     sleep(behaviour.late).await;
-    if shared.silent(conn) {
-        return shared.hush().await;
+    if shared.is_silent(conn) {
+        return shared.hold_unanswered().await;
     }
     let response = body::text(StatusCode::OK, answer);
     Ok(match behaviour.replies {
         Replies::Whole => response,
-        Replies::Cut => body::cut(response),
+        Replies::Cut => body::truncate(response),
     })
 }
 
-async fn read(incoming: Incoming) -> Result<Bytes, Cut> {
+async fn read_body(incoming: Incoming) -> Result<Bytes, ConnectionCut> {
     let body = Limited::new(incoming, REQUEST_MAX).collect().await;
-    body.map(|it| it.to_bytes()).map_err(|_| Cut)
+    body.map(|it| it.to_bytes()).map_err(|_| ConnectionCut)
 }
 
-async fn admit_in_time(shared: &Shared, left: u64) -> Admission {
+async fn admit_before_deadline(shared: &Shared, left: u64) -> Admission {
     if left == 0 {
         return Admission::Shed(EXPIRED);
     }
@@ -153,9 +159,9 @@
     admission.unwrap_or(Admission::Shed(EXPIRED))
 }
 
-/// A caller without a deadline gets one that no run lasts for.
-fn deadline(headers: &HeaderMap) -> u64 {
-    text(headers, DEADLINE)
+/// Returns the time left for the request, in ms, or [`NO_DEADLINE_MS`] if it has no deadline.
+fn time_left(headers: &HeaderMap) -> u64 {
+    header_text(headers, DEADLINE)
         .and_then(|it| it.parse().ok())
         .unwrap_or(NO_DEADLINE_MS)
 }
@@ -172,7 +178,7 @@
     if let Ok(permit) = shared.slots.clone().try_acquire_owned() {
         return Admission::Run(permit);
     }
-    let Ok(_place) = shared.queue.try_acquire() else {
+    let Ok(_queue_permit) = shared.queue.try_acquire() else {
         return Admission::Shed("every slot is busy; retry elsewhere or later");
     };
     match shared.slots.clone().acquire_owned().await {
@@ -181,9 +187,8 @@
     }
 }
 
-/// Starts the run as a task of its own: once started it goes on even if its caller hangs up, and keeps
-/// its slot until then.
-fn start(
+/// Starts the run as a task of its own, which completes and holds its slot even if the caller disconnects.
+fn start_run(
     shared: &Arc<Shared>,
     parts: &Parts,
     permit: OwnedSemaphorePermit,
@@ -191,8 +196,8 @@
     let (sender, done) = oneshot::channel();
     let mut state = shared.lock();
     let key = state.ledger.start(Run {
-        request: text(&parts.headers, REQUEST_ID),
-        key: text(&parts.headers, IDEMPOTENCY_KEY),
+        request: header_text(&parts.headers, REQUEST_ID),
+        key: header_text(&parts.headers, IDEMPOTENCY_KEY),
         line: format!("{} {}", parts.method, parts.uri.path()),
         state: RunState::Started,
     });
@@ -209,13 +214,13 @@
         sleep(millis).await;
         task_shared.lock().ledger.finish(key);
         drop(permit);
-        // The caller may have hung up.
+        // Sending fails if the caller has disconnected.
         let _ = sender.send(());
     });
     done
 }
 
-fn shed(shared: &Shared, why: &str) -> Response<Body> {
+fn shed_response(shared: &Shared, why: &str) -> Response<Body> {
     shared.lock().ledger.shed += 1;
     let mut response = body::text(StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n"));
     let outcome = HeaderValue::from_static("not-run");
@@ -223,7 +228,7 @@
     response
 }
 
-fn text(headers: &HeaderMap, name: &str) -> Option<String> {
+fn header_text(headers: &HeaderMap, name: &str) -> Option<String> {
     let value = headers.get(name)?.to_str().ok()?;
     Some(value.to_owned())
 }
@@ -234,7 +239,7 @@
     }
 }
 
-impl Drop for Arrival<'_> {
+impl Drop for CancellationGuard<'_> {
     fn drop(&mut self) {
         if !self.decided {
             self.shared.lock().ledger.cancelled += 1;
@@ -243,7 +248,7 @@
 }
 
 impl Shared {
-    /// What the health endpoint says, true or not.
+    /// Returns the answer of the health endpoint, which is wrong if [`Failing::Lying`] is set.
     pub(crate) fn health(&self) -> Health {
         let phase = match (self.behaviour().failing, *self.phase.borrow()) {
             (Failing::Open, Phase::Ready) => Phase::Warming,
@@ -258,11 +263,11 @@
         }
     }
 
-    /// Never answers, until the upstream leaves.
-    async fn hush(&self) -> Answered {
+    /// Holds the request unanswered until the upstream drains, then closes the connection.
+    async fn hold_unanswered(&self) -> HandlerResult {
         let mut phases = self.phase.subscribe();
-        // The sender lives in `self`, so it only ends by that phase.
+        // Waiting cannot fail, as `self` owns the sender.
         let _ = phases.wait_for(|it| *it == Phase::Draining).await;
-        Err(Cut)
+        Err(ConnectionCut)
     }
 }
--- a/crates/standin/tests/cli.rs
+++ b/crates/standin/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line says the same as the settings' own defaults.
+//! Command line of the stand-ins.
 
 use laburnum_flags::{Input, Values};
 use laburnum_standin::{
@@ -8,11 +8,11 @@
 
 fn values(args: &[&str]) -> Values {
     let parsed = cli::SUITE.parse(Input::new(args.iter().copied(), []));
-    parsed.expect("no faults").1
+    parsed.expect("valid arguments").1
 }
 
 #[test]
-fn defaults_of_flags_are_those_of_the_settings() {
+fn flags_have_the_defaults_of_the_settings() {
     let upstream = cli::upstream(&values(&["upstream"]));
     let expected = UpstreamSettings::default();
     assert_eq!(format!("{upstream:?}"), format!("{expected:?}"));
@@ -21,12 +21,12 @@
 }
 
 #[test]
-fn token_is_read_and_never_shown() {
-    let given = values(&["upstream", "--token", "token-of-the-operators"]);
-    let upstream = cli::upstream(&given);
+fn token_is_parsed_and_never_printed() {
+    let parsed_values = values(&["upstream", "--token", "token-of-the-operators"]);
+    let upstream = cli::upstream(&parsed_values);
     assert!(upstream.token.is_some());
-    let shown = format!("{given:?} {upstream:?}");
-    assert!(!shown.contains("token-of"), "{shown}");
+    let printed = format!("{parsed_values:?} {upstream:?}");
+    assert!(!printed.contains("token-of"), "{printed}");
 }
 
 #[test]
@@ -54,10 +54,10 @@
 }
 
 #[test]
-fn bad_words_and_shares_name_the_good_ones() {
+fn invalid_values_name_the_valid_ones() {
     let args = ["platform", "--outage=maybe", "--lost=2"];
     let stop = cli::SUITE.parse(Input::new(args, []));
-    let text = stop.expect_err("faults").text();
+    let text = stop.expect_err("invalid arguments").text();
     assert_eq!(
         text,
         "laburnum-standin platform: --outage (LABURNUM_OUTAGE): \"maybe\" is not valid: \
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's contract, run against every implementation, and its fault cases.
+//! Tests of the platform's contract against every implementation, with and without faults.
 
 use std::{
     net::SocketAddr,
@@ -24,7 +24,7 @@
     net::TcpListener,
 };
 
-/// Which implementation a contract test runs against.
+/// Implementation that a contract test runs against.
 #[derive(Clone, Copy)]
 enum Kind {
     Memory,
@@ -32,12 +32,12 @@
     Http,
 }
 
-/// Far longer than any answer takes, so that a busy machine changes no verdict.
-const PATIENT_MS: u64 = 60_000;
-/// For cases that end by the timeout.
-const SHORT_MS: u64 = 1_000;
+/// Timeout that no answer exceeds, even on a busy machine, in ms.
+const LONG_TIMEOUT_MS: u64 = 60_000;
+/// Timeout for cases that must time out, in ms.
+const SHORT_TIMEOUT_MS: u64 = 1_000;
 
-/// A platform under test, with what is behind it.
+/// Platform under test with its fault injection and its server.
 struct Rig {
     platform: Arc<dyn Platform>,
     faulty: Faulty,
@@ -60,8 +60,8 @@
         Kind::Memory => (memory, None),
         Kind::Faulty => (Arc::new(faulty.clone()), None),
         Kind::Http => {
-            let any = SocketAddr::from(([127, 0, 0, 1], 0));
-            let server = PlatformServer::start(any, faulty.clone()).await;
+            let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+            let server = PlatformServer::start(any_port, faulty.clone()).await;
             let server = server.expect("the stand-in starts");
             let platform = http(server.address(), timeout);
             (Arc::new(platform), Some(server))
@@ -153,7 +153,7 @@
 #[test_case(Kind::Http; "http")]
 #[tokio::test]
 async fn rows_written_are_read_with_their_versions(kind: Kind) {
-    let rig = rig(kind, PATIENT_MS).await;
+    let rig = rig(kind, LONG_TIMEOUT_MS).await;
     let bytes: Vec<u8> = (0..=255).collect();
     let writes = vec![put("b", &bytes), put("a", b"")];
     assert_eq!(rig.commit(&[], writes).await, TableAnswer::Committed);
@@ -173,8 +173,8 @@
 #[test_case(Kind::Faulty; "faulty")]
 #[test_case(Kind::Http; "http")]
 #[tokio::test]
-async fn failed_check_writes_nothing_and_shows_the_present_rows(kind: Kind) {
-    let rig = rig(kind, PATIENT_MS).await;
+async fn failed_check_writes_nothing_and_returns_rows(kind: Kind) {
+    let rig = rig(kind, LONG_TIMEOUT_MS).await;
     rig.commit(&[("a", ABSENT)], vec![put("a", b"1"), put("c", b"1")])
         .await;
     let checks = [("a", ABSENT), ("b", 3), ("c", 1)];
@@ -191,14 +191,14 @@
 #[test_case(Kind::Faulty; "faulty")]
 #[test_case(Kind::Http; "http")]
 #[tokio::test]
-async fn version_never_goes_back_after_a_delete(kind: Kind) {
-    let rig = rig(kind, PATIENT_MS).await;
+async fn version_never_decreases_after_a_delete(kind: Kind) {
+    let rig = rig(kind, LONG_TIMEOUT_MS).await;
     rig.commit(&[], vec![put("a", b"1")]).await;
     rig.commit(&[], vec![put("a", b"2")]).await;
     rig.commit(&[("a", 2)], vec![delete("a"), delete("never")])
         .await;
     assert_eq!(rig.get(&["a"]).await, []);
-    // The key counts as absent, yet a holder of version 1 or 2 cannot take the new row for its own.
+    // The key counts as absent, but a check for version 1 or 2 must not match the new row.
     let again = rig.commit(&[("a", ABSENT)], vec![put("a", b"3")]).await;
     assert_eq!(again, TableAnswer::Committed);
     let version = rig.get(&["a"]).await[0].version;
@@ -213,7 +213,7 @@
 #[test_case(Kind::Http; "http")]
 #[tokio::test]
 async fn scan_is_ordered_and_bounded(kind: Kind) {
-    let rig = rig(kind, PATIENT_MS).await;
+    let rig = rig(kind, LONG_TIMEOUT_MS).await;
     let keys = ["log/10", "log/02", "log", "log/1", "lof/9", "log/é", "m"];
     let writes = keys.iter().map(|it| put(it, b"")).collect();
     assert_eq!(rig.commit(&[], writes).await, TableAnswer::Committed);
@@ -232,8 +232,8 @@
 #[test_case(Kind::Faulty; "faulty")]
 #[test_case(Kind::Http; "http")]
 #[tokio::test]
-async fn objects_are_kept_replaced_and_removed(kind: Kind) {
-    let rig = rig(kind, PATIENT_MS).await;
+async fn objects_are_stored_replaced_and_removed(kind: Kind) {
+    let rig = rig(kind, LONG_TIMEOUT_MS).await;
     let name = "snapshot/1 ü?#".to_owned();
     let object = |op| rig.platform.object(op);
     let read = || ObjectOp::Get { name: name.clone() };
@@ -258,8 +258,8 @@
 #[test_case(Kind::Faulty; "faulty")]
 #[test_case(Kind::Http; "http")]
 #[tokio::test]
-async fn commits_beyond_the_limits_are_invalid_and_write_nothing(kind: Kind) {
-    let rig = rig(kind, PATIENT_MS).await;
+async fn commits_beyond_the_limits_write_nothing(kind: Kind) {
+    let rig = rig(kind, LONG_TIMEOUT_MS).await;
     let longest = vec![0; VALUE_MAX];
     let full = (0..COMMIT_MAX - 1).map(|it| put(&format!("full/{it}"), b""));
     let full = rig.commit(&[("x", ABSENT)], full.collect()).await;
@@ -286,7 +286,7 @@
 #[test_case(Kind::Http; "http")]
 #[tokio::test(flavor = "multi_thread")]
 async fn one_of_many_racing_commits_wins(kind: Kind) {
-    let rig = rig(kind, PATIENT_MS).await;
+    let rig = rig(kind, LONG_TIMEOUT_MS).await;
     let tasks = (0..16_u8).map(|idx| {
         let platform = rig.platform.clone();
         tokio::spawn(async move {
@@ -312,12 +312,12 @@
     rig.close();
 }
 
-/// Whether a write took effect.
+/// Effect of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Effect {
     Never,
     Done,
-    /// After the caller's timeout.
+    /// Takes effect after the caller's timeout.
     Later,
 }
 
@@ -340,11 +340,11 @@
 }
 
 fn slow() -> Faults {
-    faults(|it| it.slow = 10 * SHORT_MS)
+    faults(|it| it.slow = 10 * SHORT_TIMEOUT_MS)
 }
 
 fn late() -> Faults {
-    faults(|it| it.late = 2 * SHORT_MS)
+    faults(|it| it.late = 2 * SHORT_TIMEOUT_MS)
 }
 
 fn lost() -> Faults {
@@ -359,23 +359,22 @@
     faults(|it| it.answers = Answers::Malformed)
 }
 
-// The caller sees one fault for its read and one for its write. What matters is the write: Unavailable
-// promises that it had no effect and may be sent again, so it may only be said when that is certain;
-// every doubt must be Unknown. Afterwards the store itself is looked at, past all faults.
-#[test_case(Kind::Faulty, refuse(), Fault::Unavailable, Effect::Never, PATIENT_MS; "faulty outage that refuses")]
-#[test_case(Kind::Http, refuse(), Fault::Unavailable, Effect::Never, PATIENT_MS; "http outage that refuses")]
-#[test_case(Kind::Faulty, hang(), Fault::Unknown, Effect::Never, SHORT_MS; "faulty outage that hangs")]
-#[test_case(Kind::Http, hang(), Fault::Unknown, Effect::Never, SHORT_MS; "http outage that hangs")]
-#[test_case(Kind::Faulty, slow(), Fault::Unknown, Effect::Done, SHORT_MS; "faulty slow past the timeout")]
-#[test_case(Kind::Http, slow(), Fault::Unknown, Effect::Done, SHORT_MS; "http slow past the timeout")]
-#[test_case(Kind::Faulty, late(), Fault::Unknown, Effect::Later, SHORT_MS; "faulty effect after the timeout")]
-#[test_case(Kind::Http, late(), Fault::Unknown, Effect::Later, SHORT_MS; "http effect after the timeout")]
-#[test_case(Kind::Faulty, truncated(), Fault::Unknown, Effect::Done, PATIENT_MS; "faulty truncated body")]
-#[test_case(Kind::Http, truncated(), Fault::Unknown, Effect::Done, PATIENT_MS; "http truncated body")]
-#[test_case(Kind::Faulty, malformed(), Fault::Unknown, Effect::Done, PATIENT_MS; "faulty malformed answer")]
-#[test_case(Kind::Http, malformed(), Fault::Unknown, Effect::Done, PATIENT_MS; "http malformed answer")]
+// Guards against repeated writes: `Unavailable` permits a retry and may be returned only if the write certainly had no
+// effect; all other cases must be `Unknown`.
+#[test_case(Kind::Faulty, refuse(), Fault::Unavailable, Effect::Never, LONG_TIMEOUT_MS; "faulty outage that refuses")]
+#[test_case(Kind::Http, refuse(), Fault::Unavailable, Effect::Never, LONG_TIMEOUT_MS; "http outage that refuses")]
+#[test_case(Kind::Faulty, hang(), Fault::Unknown, Effect::Never, SHORT_TIMEOUT_MS; "faulty outage that hangs")]
+#[test_case(Kind::Http, hang(), Fault::Unknown, Effect::Never, SHORT_TIMEOUT_MS; "http outage that hangs")]
+#[test_case(Kind::Faulty, slow(), Fault::Unknown, Effect::Done, SHORT_TIMEOUT_MS; "faulty slow past the timeout")]
+#[test_case(Kind::Http, slow(), Fault::Unknown, Effect::Done, SHORT_TIMEOUT_MS; "http slow past the timeout")]
+#[test_case(Kind::Faulty, late(), Fault::Unknown, Effect::Later, SHORT_TIMEOUT_MS; "faulty effect after the timeout")]
+#[test_case(Kind::Http, late(), Fault::Unknown, Effect::Later, SHORT_TIMEOUT_MS; "http effect after the timeout")]
+#[test_case(Kind::Faulty, truncated(), Fault::Unknown, Effect::Done, LONG_TIMEOUT_MS; "faulty truncated body")]
+#[test_case(Kind::Http, truncated(), Fault::Unknown, Effect::Done, LONG_TIMEOUT_MS; "http truncated body")]
+#[test_case(Kind::Faulty, malformed(), Fault::Unknown, Effect::Done, LONG_TIMEOUT_MS; "faulty malformed answer")]
+#[test_case(Kind::Http, malformed(), Fault::Unknown, Effect::Done, LONG_TIMEOUT_MS; "http malformed answer")]
 #[tokio::test]
-async fn faults_are_told_apart(
+async fn faults_report_the_effect_of_a_write(
     kind: Kind,
     faults: Faults,
     write: Fault,
@@ -397,7 +396,7 @@
     let stored = || rows(rig.faulty.memory().table_now(&get(&["a"]))).len();
     match effect {
         Effect::Never => assert_eq!(stored(), 0),
-        // The caller's timeout may fall between the request's way there and its effect.
+        // The caller's timeout may pass before the effect.
         Effect::Done | Effect::Later => {
             while stored() == 0 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -408,30 +407,29 @@
     rig.close();
 }
 
-// The write takes effect and the connection ends before the answer; reads are answered. The caller learns
-// Unknown, reads back and finds its own write.
+// A write whose answer is lost must return `Unknown`, not be sent again, and be visible to a later read.
 #[test_case(Kind::Faulty; "faulty")]
 #[test_case(Kind::Http; "http")]
 #[tokio::test]
-async fn answer_lost_after_the_write_is_unknown_and_can_be_read_back(kind: Kind) {
-    let rig = rig(kind, PATIENT_MS).await;
+async fn write_with_a_lost_answer_is_unknown(kind: Kind) {
+    let rig = rig(kind, LONG_TIMEOUT_MS).await;
     rig.faulty.set(lost());
     let answer = rig.commit(&[("a", ABSENT)], vec![put("a", b"mine")]).await;
     assert_eq!(answer, TableAnswer::Failed(Fault::Unknown));
     assert_eq!(rig.get(&["a"]).await, [row("a", 1, b"mine")]);
     let stats = rig.faulty.stats();
-    // One request was served: neither the adapter nor its client sent the write again.
+    // Neither the adapter nor its HTTP client repeated the write.
     assert_eq!((stats.writes, stats.lost), (1, 1));
     rig.close();
 }
 
-// Two rows a second are allowed. A commit of five goes through on a full bucket and puts it in debt; the
-// next is refused without effect and told how long to wait.
+// A commit larger than the bucket passes while the bucket is full; the next one must be throttled without effect, with
+// the time to wait.
 #[test_case(Kind::Faulty; "faulty")]
 #[test_case(Kind::Http; "http")]
 #[tokio::test]
-async fn rate_limit_counts_rows_and_says_when_to_retry(kind: Kind) {
-    let rig = rig(kind, PATIENT_MS).await;
+async fn rate_limit_counts_rows_and_returns_a_delay(kind: Kind) {
+    let rig = rig(kind, LONG_TIMEOUT_MS).await;
     rig.faulty.set(faults(|it| it.writes = 2));
     let five = (0..5).map(|it| put(&format!("a/{it}"), b"")).collect();
     assert_eq!(rig.commit(&[], five).await, TableAnswer::Committed);
@@ -465,7 +463,7 @@
 async fn same_seed_loses_the_same_answers() {
     let mut seen = Vec::new();
     for _ in 0..2 {
-        let rig = rig(Kind::Faulty, PATIENT_MS).await;
+        let rig = rig(Kind::Faulty, LONG_TIMEOUT_MS).await;
         let half = Share::try_from(0.5).expect("a share");
         rig.faulty.set(faults(|it| it.lost = half));
         let mut answers = Vec::new();
@@ -481,8 +479,8 @@
     assert!(seen[0].contains(&TableAnswer::Failed(Fault::Unknown)));
 }
 
-/// Answers every request on a new connection with `answer` and closes it; counts requests.
-async fn canned(answer: String) -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a server that answers the first request of each connection with `answer`, closes it and counts requests.
+async fn serve_canned(answer: String) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let count = Arc::new(AtomicUsize::new(0));
@@ -517,12 +515,11 @@
     Fault::Invalid(why.to_owned())
 }
 
-// Something between the two ends answers in the platform's place, or the platform answers another's
-// question. Each answer is judged once for a read and once for a write of the key `a`.
+// Answers of an intermediary, or to another request, must become the right fault for a read and for a write.
 #[test_case(answer("500 Oops", "", ""), Fault::Unavailable, Fault::Unknown; "internal error")]
 #[test_case(answer("504 Late", "", ""), Fault::Unavailable, Fault::Unknown; "gateway timeout")]
 #[test_case(answer("408 Late", "", ""), Fault::Unavailable, Fault::Unknown; "request timeout")]
-#[test_case(answer("503 Down", "", ""), Fault::Unavailable, Fault::Unknown; "unavailable without a word on effects")]
+#[test_case(answer("503 Down", "", ""), Fault::Unavailable, Fault::Unknown; "unavailable without an effect field")]
 #[test_case(answer("503 Down", "", NO_EFFECT), Fault::Unavailable, Fault::Unavailable; "unavailable without effect")]
 #[test_case(answer("429 Slow", "", WAIT), throttled(250), throttled(250); "throttled by body")]
 #[test_case(answer("429 Slow", "retry-after: 3\r\n", ""), throttled(3000), throttled(3000); "throttled by header")]
@@ -532,16 +529,16 @@
 #[test_case(answer("302 Found", "location: /\r\n", ""), Fault::Unavailable, Fault::Unknown; "redirect")]
 #[test_case(answer("200 OK", "", ""), Fault::Unavailable, Fault::Unknown; "empty")]
 #[test_case(answer("200 OK", "", r#"{"done":false}"#), Fault::Unavailable, Fault::Unknown; "not done")]
-#[test_case(answer("200 OK", "", FOREIGN), Fault::Unavailable, Fault::Unknown; "rows of another question")]
+#[test_case(answer("200 OK", "", FOREIGN), Fault::Unavailable, Fault::Unknown; "rows of another request")]
 #[test_case(answer("409 Conflict", "", FOREIGN), Fault::Unavailable, Fault::Unknown; "conflict of another commit")]
 #[test_case(answer("200 OK", "", NO_VERSION), Fault::Unavailable, Fault::Unknown; "row without a version")]
 #[test_case("HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{\"done\":true}".to_owned(), Fault::Unavailable, Fault::Unknown; "cut within the body")]
 #[test_case(String::new(), Fault::Unavailable, Fault::Unknown; "connection closed")]
 #[test_case("SSH-2.0\r\n".to_owned(), Fault::Unavailable, Fault::Unknown; "another protocol")]
 #[tokio::test]
-async fn foreign_answers_are_judged(answer: String, read: Fault, write: Fault) {
-    let (address, count) = canned(answer).await;
-    let platform = http(address, PATIENT_MS);
+async fn foreign_answers_become_faults(answer: String, read: Fault, write: Fault) {
+    let (address, count) = serve_canned(answer).await;
+    let platform = http(address, LONG_TIMEOUT_MS);
     let seen = platform.table(get(&["a"])).await;
     assert_eq!(seen, TableAnswer::Failed(read));
     let checks = vec![Check {
@@ -551,19 +548,19 @@
     let writes = vec![put("a", b"1")];
     let seen = platform.table(TableOp::Commit { checks, writes }).await;
     assert_eq!(seen, TableAnswer::Failed(write));
-    // Each was sent once.
+    // Neither call was repeated.
     assert_eq!(count.load(Ordering::SeqCst), 2);
 }
 
-// A rogue answer of megabytes must neither fill the node's memory nor its logs.
+// An oversized answer must not fill the node's memory or logs.
 #[tokio::test]
-async fn answers_and_their_words_are_bounded() {
+async fn answers_and_error_texts_are_bounded() {
     let long = "x".repeat(100_000);
     let body = format!(r#"{{"error":"{long}"}}"#);
-    let (address, _) = canned(answer("400 Bad", "", &body)).await;
+    let (address, _) = serve_canned(answer("400 Bad", "", &body)).await;
     let settings = HttpSettings {
         address,
-        timeout: PATIENT_MS,
+        timeout: LONG_TIMEOUT_MS,
         answer: 200_000,
         ..HttpSettings::default()
     };
@@ -583,26 +580,25 @@
     assert_eq!(written, TableAnswer::Failed(Fault::Unknown));
 }
 
-// Nobody listens, so no byte of the write can have been sent.
+// A refused connection proves that no byte of the write was sent.
 #[tokio::test]
 async fn refused_connection_is_unavailable() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let written = http(address, PATIENT_MS).table(put_op("a")).await;
+    let written = http(address, LONG_TIMEOUT_MS).table(put_op("a")).await;
     assert_eq!(written, TableAnswer::Failed(Fault::Unavailable));
 }
 
-// The platform hangs. Two calls are in progress, one waits, and the fourth is refused at once: what waits
-// for a platform that is down stays bounded, and so do connections to it.
+// Calls to a platform that hangs must stay bounded: two are in flight, one is queued, and the fourth fails at once.
 #[tokio::test]
-async fn calls_in_progress_and_in_wait_are_bounded() {
-    let rig = rig(Kind::Http, PATIENT_MS).await;
+async fn calls_in_flight_and_queued_are_bounded() {
+    let rig = rig(Kind::Http, LONG_TIMEOUT_MS).await;
     rig.faulty.set(hang());
     let address = rig.server.as_ref().map(PlatformServer::address);
     let platform = Arc::new(HttpPlatform::new(HttpSettings {
         address: address.expect("a server"),
-        timeout: PATIENT_MS,
+        timeout: LONG_TIMEOUT_MS,
         concurrency: 2,
         queue: 1,
         ..HttpSettings::default()
--- a/crates/standin/tests/upstream.rs
+++ b/crates/standin/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! The stand-in upstream: what it runs, refuses and how it misbehaves.
+//! Tests of the stand-in upstream: runs, refusals, faults and announcements.
 
 use std::{
     net::SocketAddr,
@@ -14,8 +14,8 @@
 use laburnum_edge::{Token, api::AnnounceBody};
 use laburnum_standin::{
     Behaviour, Ledger, Upstream, UpstreamSettings,
-    body::{self, Body, Cut},
-    server::{Conns, Server},
+    body::{self, Body, ConnectionCut},
+    server::{ConnCounter, Server},
     upstream::{Failing, Health, Phase, Replies, ledger::RunState},
 };
 use test_case::test_case;
@@ -25,8 +25,8 @@
     task::JoinHandle,
 };
 
-/// A service time that no test waits for.
-const NEVER_MS: u64 = 3_600_000;
+/// Time longer than any test, in ms.
+const FOREVER_MS: u64 = 3_600_000;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
@@ -44,7 +44,7 @@
     upstream
 }
 
-/// Polls `ready` until it holds, for as long as the test runner allows.
+/// Polls `ready` until it returns true; the test runner's timeout bounds the wait.
 async fn until(mut ready: impl FnMut() -> bool) {
     while !ready() {
         tokio::time::sleep(Duration::from_millis(2)).await;
@@ -78,12 +78,12 @@
     Answer::read(sender.send_request(request).await).await
 }
 
-/// Sends on a connection of its own, in the background.
+/// Sends a request on a new connection, in a task.
 fn begin(address: SocketAddr, request: Request<Full<Bytes>>) -> JoinHandle<Answer> {
     tokio::spawn(send(address, request))
 }
 
-/// What a caller got.
+/// Answer as seen by a caller.
 #[derive(Debug, PartialEq, Eq)]
 enum Answer {
     Whole {
@@ -91,9 +91,9 @@
         outcome: Option<String>,
         body: String,
     },
-    /// The head and not the whole body.
+    /// The head, but an incomplete body.
     Cut,
-    /// Nothing.
+    /// No answer.
     Lost,
 }
 
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn runs_are_answered_and_kept_in_the_ledger() {
+async fn runs_are_answered_and_recorded() {
     let upstream = start(settings()).await;
     let address = upstream.address();
     let headers = [("x-request-id", "r1"), ("idempotency-key", "k")];
@@ -165,13 +165,12 @@
     upstream.close();
 }
 
-// The only slot is busy and nothing may wait: the second request is refused, says that it was not run, and
-// the ledger agrees.
+// With the only slot busy and no queue, a request must be refused as not run, and the ledger must agree.
 #[tokio::test]
 async fn request_beyond_the_slots_is_shed_as_not_run() {
     let upstream = start(UpstreamSettings {
         slots: 1,
-        run: NEVER_MS,
+        run: FOREVER_MS,
         ..settings()
     })
     .await;
@@ -190,7 +189,7 @@
 #[tokio::test]
 async fn cold_upstream_refuses_as_not_run() {
     let upstream = Upstream::start(UpstreamSettings {
-        cold: NEVER_MS,
+        cold: FOREVER_MS,
         ..settings()
     })
     .await
@@ -208,13 +207,13 @@
     upstream.close();
 }
 
-// A request waits for the only slot and its caller hangs up. It is dropped and counted, and never runs.
+// A waiting request whose caller disconnects must be counted as cancelled and never run.
 #[tokio::test]
-async fn waiting_request_is_dropped_when_its_caller_hangs_up() {
+async fn waiting_request_of_a_gone_caller_never_runs() {
     let upstream = start(UpstreamSettings {
         slots: 1,
         queue: 1,
-        run: NEVER_MS,
+        run: FOREVER_MS,
         ..settings()
     })
     .await;
@@ -230,7 +229,7 @@
     upstream.close();
 }
 
-// The only slot is busy for longer than the second request's deadline: it is dropped before it runs.
+// A request whose deadline passes before it gets a slot must not run.
 #[test_case("0"; "over on arrival")]
 #[test_case("5"; "over while waiting")]
 #[tokio::test]
@@ -238,7 +237,7 @@
     let upstream = start(UpstreamSettings {
         slots: 1,
         queue: 1,
-        run: NEVER_MS,
+        run: FOREVER_MS,
         ..settings()
     })
     .await;
@@ -252,7 +251,7 @@
     upstream.close();
 }
 
-// The caller hangs up while its request runs: the run goes on to its end, since the upstream cannot undo it.
+// A run must complete even if its caller disconnects.
 #[tokio::test]
 async fn started_run_outlives_its_caller() {
     let upstream = start(UpstreamSettings {
@@ -268,14 +267,13 @@
     upstream.close();
 }
 
-// One request runs when another crashes the upstream. Both callers lose their connection, the ledger keeps
-// both as unfinished, and the upstream comes back at the same address.
+// A crash must close all connections and mark all runs as crashed, and the upstream must restart at the same address.
 #[tokio::test]
-async fn crash_ends_every_request_and_the_upstream_comes_back() {
+async fn crash_ends_every_request_and_restarts() {
     let upstream = start(settings()).await;
     let address = upstream.address();
     upstream.set(Behaviour {
-        slow: NEVER_MS,
+        slow: FOREVER_MS,
         ..Behaviour::default()
     });
     let bystander = begin(address, request("GET", "/", &[("x-request-id", "r1")]));
@@ -297,10 +295,9 @@
     upstream.close();
 }
 
-// Something between loses track of the open connection: a request on it is never answered and never run,
-// while a new connection works.
+// A request on a silenced connection must be neither run nor answered, while a new connection works.
 #[tokio::test]
-async fn silent_connection_never_answers_and_new_ones_work() {
+async fn silenced_connection_never_answers() {
     let upstream = start(settings()).await;
     let address = upstream.address();
     let mut old = connect(address).await;
@@ -313,16 +310,16 @@
     assert_eq!(new, ok("GET /3 \n"));
     assert!(!lost.is_finished());
     assert!(!upstream.ledger().ran("r2"));
-    // It ends with the upstream, unanswered.
+    // The connection is closed with the upstream, and the request stays unanswered.
     upstream.drain().await;
     let lost = lost.await.expect("no panic");
     assert_eq!(Answer::read(lost).await, Answer::Lost);
 }
 
-#[test_case(Failing::Open, Phase::Warming; "health tells")]
-#[test_case(Failing::Lying, Phase::Ready; "health lies")]
+#[test_case(Failing::Open, Phase::Warming; "health reports it")]
+#[test_case(Failing::Lying, Phase::Ready; "health hides it")]
 #[tokio::test]
-async fn failing_upstream_errors_without_running(failing: Failing, phase: Phase) {
+async fn failing_upstream_answers_without_running(failing: Failing, phase: Phase) {
     let upstream = start(settings()).await;
     let address = upstream.address();
     upstream.set(Behaviour {
@@ -349,9 +346,9 @@
     upstream.close();
 }
 
-// The request ran, but its answer ends early: the caller must not take the part for the whole.
+// A truncated answer must be an error for the caller, though the request ran.
 #[tokio::test]
-async fn cut_answer_is_an_error_though_the_request_ran() {
+async fn truncated_answer_is_an_error() {
     let upstream = start(settings()).await;
     upstream.set(Behaviour {
         replies: Replies::Cut,
@@ -364,12 +361,12 @@
     upstream.close();
 }
 
-// The run is over and its slot free again, yet the answer is still on its way.
+// A late answer is sent after its run has released the slot.
 #[tokio::test]
-async fn late_answer_comes_after_its_slot_is_free() {
+async fn late_answer_does_not_hold_its_slot() {
     let upstream = start(settings()).await;
     upstream.set(Behaviour {
-        late: NEVER_MS,
+        late: FOREVER_MS,
         ..Behaviour::default()
     });
     let headers = [("x-request-id", "r1")];
@@ -380,10 +377,9 @@
     upstream.close();
 }
 
-// An upstream leaves while a request runs: new ones are refused as not run, the running one is answered
-// whole, and only then does the upstream end.
+// A draining upstream must refuse new requests as not run and answer the running one before it stops.
 #[tokio::test]
-async fn drain_completes_what_runs_and_refuses_the_rest() {
+async fn drain_completes_runs_and_refuses_new_ones() {
     let upstream = start(UpstreamSettings {
         run: 100,
         ..settings()
@@ -403,7 +399,7 @@
 
 #[test_case(r#"{"slow":1}"#, 200; "good")]
 #[test_case(r#"{"sloow":1}"#, 400; "unknown field")]
-#[test_case("[", 400; "no JSON")]
+#[test_case("[", 400; "not JSON")]
 #[tokio::test]
 async fn behaviour_is_set_over_http(text: &'static str, status: u16) {
     let upstream = start(settings()).await;
@@ -419,51 +415,50 @@
     upstream.close();
 }
 
-/// What the node beside the upstream was told, in order: readiness, or that the upstream left.
+/// Announcement received by the node: readiness or the withdrawal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum Announced {
     Ready(bool),
     Left,
 }
 
 const TOKEN: &str = "token-of-the-operators";
 
-/// A node's admin API that notes announcements. The second one is answered by an error.
-async fn node(told: Arc<Mutex<Vec<Told>>>) -> Server {
+/// Starts a stand-in for a node's admin API that records announcements and answers the second one with an error.
+async fn node(announced: Arc<Mutex<Vec<Announced>>>) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let handler = move |_, request: Request<Incoming>| {
-        let told = told.clone();
+        let announced = announced.clone();
         async move {
             let (parts, body) = request.into_parts();
-            let body = body.collect().await.map_err(|_| Cut)?.to_bytes();
+            let body = body.collect().await.map_err(|_| ConnectionCut)?.to_bytes();
             assert_eq!(parts.uri.path(), "/v1/upstream");
             let token: Token = TOKEN.parse().expect("a token");
             assert!(token.fits(&parts.headers["authorization"]));
-            let mut told = told.lock().expect("not poisoned");
-            told.push(match parts.method {
+            let mut announced = announced.lock().expect("not poisoned");
+            announced.push(match parts.method {
                 Method::PUT => {
                     let body: AnnounceBody = serde_json::from_slice(&body).expect("JSON");
                     assert_eq!((body.service.as_str(), body.slots), ("drafting-desk", 6));
-                    Told::Ready(body.ready)
+                    Announced::Ready(body.ready)
                 }
-                _ => Told::Left,
+                _ => Announced::Left,
             });
-            let status = match told.len() {
+            let status = match announced.len() {
                 2 => StatusCode::SERVICE_UNAVAILABLE,
                 _ => StatusCode::NO_CONTENT,
             };
-            Ok::<Response<Body>, Cut>(body::text(status, String::new()))
+            Ok::<Response<Body>, ConnectionCut>(body::text(status, String::new()))
         }
     };
-    Server::start(listener, Conns::default(), handler).expect("it serves")
+    Server::start(listener, ConnCounter::default(), handler).expect("the stand-in starts")
 }
 
-// The announcement is a lease: repeated through a failure while the upstream warms up and runs, then
-// withdrawn when it leaves, and nothing follows the withdrawal.
+// The announcement must be renewed despite a failure, withdrawn when the upstream leaves, and not sent after that.
 #[tokio::test]
 async fn upstream_announces_itself_until_it_leaves() {
-    let told = Arc::new(Mutex::new(Vec::new()));
-    let node = node(told.clone()).await;
+    let announced = Arc::new(Mutex::new(Vec::new()));
+    let node = node(announced.clone()).await;
     let upstream = Upstream::start(UpstreamSettings {
         node: Some(node.address()),
         token: Some(TOKEN.parse().expect("a token")),
@@ -474,18 +469,18 @@
     .await
     .expect("it starts");
     let count = |wanted| {
-        let told = told.lock().expect("not poisoned");
-        told.iter().filter(|it| **it == wanted).count()
+        let announced = announced.lock().expect("not poisoned");
+        announced.iter().filter(|it| **it == wanted).count()
     };
-    until(|| count(Told::Ready(true)) >= 3).await;
-    assert!(count(Told::Ready(false)) >= 1);
+    until(|| count(Announced::Ready(true)) >= 3).await;
+    assert!(count(Announced::Ready(false)) >= 1);
     upstream.drain().await;
-    let mut told = told.lock().expect("not poisoned").clone();
-    assert_eq!(told.pop(), Some(Told::Left));
-    assert!(!told.contains(&Told::Left));
+    let mut announced = announced.lock().expect("not poisoned").clone();
+    assert_eq!(announced.pop(), Some(Announced::Left));
+    assert!(!announced.contains(&Announced::Left));
     assert!(
-        told.is_sorted_by_key(|it| *it == Told::Ready(true)),
-        "{told:?}"
+        announced.is_sorted_by_key(|it| *it == Announced::Ready(true)),
+        "{announced:?}"
     );
     node.close();
 }
