--- a/crates/node/tests/caller_faults.rs
+++ b/crates/node/tests/caller_faults.rs
@@ -334,6 +334,13 @@
         let got = send(request("GET", cluster.caller(), "/drafts/1"), "").await;
         assert_eq!(got.body.as_deref(), Some(&b"draft"[..]), "{got:?}");
     }
+    // A reader that resumes before the stall time is over gets its whole answer.
+    let faults = cluster.nodes[0].node.faults();
+    let cut = tokio::time::timeout(
+        Duration::from_secs(30),
+        until(|| faults.total("connection") == SLOTS as u64),
+    );
+    cut.await.expect("every stalled connection is cut");
     for mut stream in stalled {
         let mut got = Vec::new();
         // The connection may end with a reset.
