--- a/crates/edge/src/api.rs
+++ b/crates/edge/src/api.rs
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "verdict")]
 pub enum VerdictBody {
-    /// 200: it is part of the log for good.
+    /// 200: it is part of the log and is never reverted.
     Accepted { seq: Seq, revision: Revision },
     /// 409: another submission came first; nothing was changed.
     Conflict {
