--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -306,7 +306,7 @@
         Err(error) => {
             let name = operand.name;
             let why = error.to_string();
-            faults.0.push(Fault::BadOperand { name, why });
+            faults.0.push(Fault::InvalidOperand { name, why });
             None
         }
     }
--- a/crates/flags/src/fault.rs
+++ b/crates/flags/src/fault.rs
@@ -1,15 +1,15 @@
-//! What can be wrong with the settings given.
+//! Errors in the command line and environment variables of a program.
 
 use std::fmt;
 
 use crate::setting::Row;
 
-/// One thing wrong with the settings given; the message names the remedy.
+/// One error in the command line or an environment variable; the message names the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// A value does not read as its type, or is refused by the program.
+    /// A value does not parse as its type, or the program rejects it.
     #[error("{flag} ({variable}): {text:?} is not valid: {why}; give {value}")]
-    Bad {
+    InvalidValue {
         flag: &'static str,
         variable: String,
         text: String,
@@ -23,10 +23,10 @@
         variable: String,
         value: String,
     },
-    /// A flag stands without its value.
+    /// A flag that takes a value is given without one.
     #[error("{flag}: the value is missing; write {flag} {value}")]
-    NoValue { flag: &'static str, value: String },
-    /// A setting without a default is not given.
+    MissingValue { flag: &'static str, value: String },
+    /// A required setting is not given.
     #[error("{flag} ({variable}) is required; add {flag} {value}")]
     Required {
         flag: &'static str,
@@ -36,47 +36,47 @@
     /// A flag is given more than once.
     #[error("{flag} is given more than once; keep one")]
     Repeated { flag: &'static str },
-    /// No such flag, but one much like it.
+    /// The flag is unknown, but similar to a known one.
     #[error("unknown flag {flag:?}; did you mean {nearest}?")]
-    Unknown { flag: String, nearest: &'static str },
-    /// No such flag, nor one like it.
+    MistypedFlag { flag: String, nearest: &'static str },
+    /// The flag is unknown and similar to no known one.
     #[error("unknown flag {flag:?}; --help lists every flag")]
-    Strange { flag: String },
-    /// An argument too many.
+    UnknownFlag { flag: String },
+    /// More operands are given than the program takes, or a switch has a value.
     #[error("unexpected argument {text:?}; remove it, or see --help")]
-    Extra { text: String },
-    /// An operand does not read as its type.
+    ExtraArgument { text: String },
+    /// An operand does not parse as its type.
     #[error("{name}: {why}")]
-    BadOperand { name: &'static str, why: String },
-    /// An operand is not given.
+    InvalidOperand { name: &'static str, why: String },
+    /// A required operand is not given.
     #[error("{name} is missing; add it after the command, or see --help")]
-    NoOperand { name: &'static str },
-    /// No such command, but one much like it.
+    MissingOperand { name: &'static str },
+    /// The command is unknown, but similar to a known one.
     #[error("unknown command {text:?}; did you mean {nearest}?")]
-    UnknownCommand { text: String, nearest: &'static str },
-    /// No command, or one like no other.
+    MistypedCommand { text: String, nearest: &'static str },
+    /// No command is given, or it is unknown and similar to no known one.
     #[error("{given}; give one of: {known}")]
     NoCommand { given: String, known: String },
 }
 
 impl Fault {
-    /// The program refuses `text` for `row`, for a reason that the type alone cannot tell.
+    /// Returns the fault of a value `text` that parses as the type of `row` but that the program rejects.
     pub fn bad(row: &Row, text: &str, why: &str) -> Fault {
-        Fault::Bad {
+        Fault::InvalidValue {
             flag: row.flag,
             variable: row.variable(),
             text: row.show(text).to_owned(),
             why: why.to_owned(),
-            value: value(row),
+            value: value_name(row),
         }
     }
 
-    /// The known flag that it is about.
+    /// Returns the known flag that the fault concerns, if any.
     pub(crate) fn flag(&self) -> Option<&'static str> {
         match self {
-            Fault::Bad { flag, .. }
+            Fault::InvalidValue { flag, .. }
             | Fault::Encoding { flag, .. }
-            | Fault::NoValue { flag, .. }
+            | Fault::MissingValue { flag, .. }
             | Fault::Required { flag, .. }
             | Fault::Repeated { flag } => Some(flag),
             _ => None,
@@ -87,7 +87,7 @@
         Fault::Encoding {
             flag: row.flag,
             variable: row.variable(),
-            value: value(row),
+            value: value_name(row),
         }
     }
 
@@ -95,19 +95,19 @@
         Fault::Required {
             flag: row.flag,
             variable: row.variable(),
-            value: value(row),
+            value: value_name(row),
         }
     }
 
-    pub(crate) fn no_value(row: &Row) -> Fault {
-        Fault::NoValue {
+    pub(crate) fn missing_value(row: &Row) -> Fault {
+        Fault::MissingValue {
             flag: row.flag,
-            value: value(row),
+            value: value_name(row),
         }
     }
 }
 
-/// Every fault of one command line, one a line.
+/// All faults of one command line, printed one per line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -123,8 +123,8 @@
     }
 }
 
-/// The value's name with its unit, as in `N (ms)`.
-pub(crate) fn value(row: &Row) -> String {
+/// Returns the value's placeholder with its unit, as in `N (ms)`.
+pub(crate) fn value_name(row: &Row) -> String {
     match row.unit.is_empty() {
         true => row.value.to_owned(),
         false => format!("{} ({})", row.value, row.unit),
--- a/crates/flags/src/help.rs
+++ b/crates/flags/src/help.rs
@@ -3,12 +3,12 @@
 use std::fmt::Write;
 
 use crate::{
-    fault::value,
+    fault::value_name,
     program::{Program, Suite},
     setting::{Fallback, Row},
 };
 
-/// Usage, operands, every flag with its variable, default and unit, and the exit codes.
+/// Returns the help of a program: usage, operands, flags with variable, default and unit, exit codes.
 pub(crate) fn program(program: &Program) -> String {
     let mut text = format!("{}\n\nusage: {}", program.about, program.name);
     // Writing to a string cannot fail.
@@ -21,7 +21,7 @@
     }
     text.push_str("\nflags, each read from its variable if not given:\n");
     for row in program.settings {
-        setting(&mut text, row);
+        write_setting(&mut text, row);
     }
     text.push_str("  --help\n      Print this text.\n  --version\n      Print the version.\n");
     text.push_str("\nexit codes:\n");
@@ -31,7 +31,7 @@
     text
 }
 
-/// The commands of a suite.
+/// Returns the help of a suite: usage and commands.
 pub(crate) fn suite(suite: &Suite) -> String {
     let mut text = format!("{}\n\nusage: {} COMMAND\n\n", suite.about, suite.name);
     for (name, program) in suite.commands {
@@ -41,7 +41,7 @@
     text
 }
 
-fn setting(text: &mut String, row: &Row) {
+fn write_setting(text: &mut String, row: &Row) {
     if row.is_switch() {
         let _ = writeln!(text, "  {}\n      {}", row.flag, row.help);
         return;
@@ -52,7 +52,7 @@
         Fallback::Absent | Fallback::Off => "default: none".to_owned(),
         Fallback::Required => "required".to_owned(),
     };
-    let _ = writeln!(text, "  {} {}", row.flag, value(row));
+    let _ = writeln!(text, "  {} {}", row.flag, value_name(row));
     let _ = writeln!(text, "      {}", row.help);
     let _ = writeln!(text, "      {}; {fallback}", row.variable());
 }
--- a/crates/flags/src/input.rs
+++ b/crates/flags/src/input.rs
@@ -1,8 +1,8 @@
-//! Where settings come from.
+//! Sources of settings: arguments and environment variables.
 
 use std::{collections::BTreeMap, ffi::OsString};
 
-/// Arguments and environment variables.
+/// The arguments and environment variables that a program reads.
 #[derive(Clone, Default)]
 pub struct Input {
     pub(crate) args: Vec<OsString>,
@@ -10,7 +10,7 @@
 }
 
 impl Input {
-    /// Those of this process, without its own name.
+    /// Returns the arguments of this process, without its name, and its `LABURNUM_` variables.
     pub fn process() -> Input {
         let variables = std::env::vars_os().filter_map(|(name, value)| {
             let name = name.into_string().ok()?;
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Given ones, for tests and embedding.
+    /// Returns an input of the given arguments and variables, for tests and embedding.
     pub fn new<'a>(
         args: impl IntoIterator<Item = &'a str>,
         variables: impl IntoIterator<Item = (&'a str, &'a str)>,
--- a/crates/flags/src/lib.rs
+++ b/crates/flags/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of a binary as a table: each is read from its flag, then from its environment variable, then
+//! Declarative settings of a binary: each is read from its flag, else from its environment variable, else
 //! from its default.
 //!
 //! ```
@@ -25,8 +25,8 @@
 //! assert_eq!(values.get(&LISTEN), SocketAddr::from(([127, 0, 0, 1], 7100)));
 //! ```
 //!
-//! A binary's `main` ends early with `Err(stop) => return stop.exit()`, which prints the help, the version
-//! or every fault at once.
+//! In `main`, `Err(stop) => return stop.exit()` prints the help, the version or all faults and returns the
+//! exit code.
 
 pub mod fault;
 mod help;
--- a/crates/flags/src/list.rs
+++ b/crates/flags/src/list.rs
@@ -1,18 +1,18 @@
-//! Settings that hold several values.
+//! A setting type for comma-separated lists.
 
 use std::str::FromStr;
 
-/// Values separated by commas; the empty text is the empty list.
+/// A comma-separated list of values; an empty text is the empty list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct List<T>(pub Vec<T>);
 
-/// One value of a list cannot be read.
+/// The error of a list item that does not parse.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("item {position}: {error}")]
 pub struct BadItem<E: std::fmt::Display + std::fmt::Debug> {
-    /// Position in the list, from 1.
+    /// Position in the list, starting at 1.
     pub position: usize,
-    /// What is wrong with it.
+    /// Error of the item's parser.
     pub error: E,
 }
 
--- a/crates/flags/src/program.rs
+++ b/crates/flags/src/program.rs
@@ -1,4 +1,4 @@
-//! A program's table of settings, and what was given for it.
+//! The settings table of a program, its parser and the parsed values.
 
 use std::{
     collections::BTreeMap,
@@ -18,85 +18,85 @@
     setting::{Fallback, Row, Setting},
 };
 
-/// A binary, or one command of it, and everything that its command line may hold.
+/// The command line of a binary, or of one command of it.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
-    /// As it is called, with the command's name if it is one.
+    /// Name in the usage line; for a command, the binary's name and the command's.
     pub name: &'static str,
     /// Printed by `--version`.
     pub version: &'static str,
-    /// One sentence on what it does.
+    /// One sentence on what the program does.
     pub about: &'static str,
-    /// Arguments without a flag, all required, in order; the last may be repeated.
+    /// Positional arguments, all required, in order; the last may be repeated.
     pub operands: &'static [Operand],
-    /// Its settings.
+    /// Settings that the program reads.
     pub settings: &'static [Row],
-    /// Its exit codes.
+    /// Exit codes, for the help text.
     pub exits: &'static [Exit],
 }
 
 /// A binary with several commands.
 #[derive(Clone, Copy, Debug)]
 pub struct Suite {
-    /// As it is called.
+    /// Name in the usage line.
     pub name: &'static str,
     /// Printed by `--version`.
     pub version: &'static str,
-    /// One sentence on what it does.
+    /// One sentence on what the binary does.
     pub about: &'static str,
-    /// Its commands by name.
+    /// Commands by name.
     pub commands: &'static [(&'static str, Program)],
 }
 
-/// An argument without a flag.
+/// A positional argument.
 #[derive(Clone, Copy, Debug)]
 pub struct Operand {
-    /// What the help calls it, as in `SERVICE`; `FILE...` may be given several times.
+    /// Placeholder in the help, as in `SERVICE`; one that ends in `...` may be given several times.
     pub name: &'static str,
-    /// One line on what it is.
+    /// One line of description.
     pub help: &'static str,
 }
 
-/// An exit code and when it is given.
+/// An exit code and its meaning.
 #[derive(Clone, Copy, Debug)]
 pub struct Exit {
-    /// The code.
+    /// Exit code of the process.
     pub code: u8,
     /// When the program ends with it.
     pub meaning: &'static str,
 }
 
 impl Exit {
-    /// Everything asked for was done.
+    /// The program succeeded.
     pub const SUCCESS: Exit = Exit {
         code: 0,
         meaning: "done",
     };
-    /// The work itself failed; the message says why.
+    /// The program failed at run time.
     pub const FAILURE: Exit = Exit {
         code: 1,
         meaning: "failed; the message names the remedy",
     };
-    /// The command line or a variable is wrong.
+    /// The command line or an environment variable is invalid.
     pub const USAGE: Exit = Exit {
         code: 2,
         meaning: "a flag, variable or argument is wrong; nothing was done",
     };
 }
 
-/// Why a program does not go on.
+/// Why a program ends after parsing its command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Stop {
-    /// The text of `--help` or `--version` was asked for.
+    /// `--help` or `--version` is given; holds the text to print.
     Print(String),
-    /// Something given is wrong.
+    /// The command line or a variable has faults.
     Faults {
         program: &'static str,
         faults: Faults,
     },
 }
 
-/// What was given for a program's table, already checked.
+/// The parsed and checked settings and operands of a program.
 #[derive(Clone)]
 pub struct Values {
     settings: &'static [Row],
@@ -104,18 +104,19 @@
     operands: Vec<String>,
 }
 
-/// Greatest edit distance at which a guess is offered.
-const GUESS_MAX: usize = 3;
+/// Greatest edit distance at which a similar name is suggested.
+const SUGGESTION_DISTANCE_MAX: usize = 3;
 
 impl Program {
-    /// Reads every setting and checks it; reports all faults at once.
+    /// Parses and checks every setting; reports all faults at once.
     pub fn parse(&self, input: Input) -> Result<Values, Stop> {
         self.parse_with(input, |_| Vec::new())
     }
 
-    /// Like [`Program::parse`], and reports with its faults those that `check` finds between settings.
+    /// Like [`Program::parse`], with additional faults from `check`, which validates settings against each
+    /// other.
     ///
-    /// The values that `check` gets lack those with faults of their own: read them by [`Values::find`].
+    /// Invalid settings are absent from the values passed to `check`: read them by [`Values::find`].
     pub fn parse_with(
         &self,
         input: Input,
@@ -123,7 +124,7 @@
     ) -> Result<Values, Stop> {
         let Input { args, variables } = input;
         let mut faults = Faults::default();
-        let mut args = Arguments::from_vec(self.drop_bare(args, &mut faults));
+        let mut args = Arguments::from_vec(self.remove_valueless_flags(args, &mut faults));
         if args.contains(["-h", "--help"]) {
             return Err(Stop::Print(help::program(self)));
         }
@@ -137,12 +138,12 @@
                     texts.insert(row.flag, text);
                 }
                 Ok(None) => {}
-                // A flag without its value was told already; that it is required too says nothing more.
+                // A flag without its value is already reported; don't report it as required as well.
                 Err(fault) if faults.0.iter().any(|it| it.flag() == fault.flag()) => {}
                 Err(fault) => faults.0.push(fault),
             }
         }
-        let operands = self.operands(args.finish(), &mut faults);
+        let operands = self.parse_operands(args.finish(), &mut faults);
         let values = Values {
             settings: self.settings,
             texts,
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Refuses to start for faults that the program found itself.
+    /// Returns the [`Stop`] that reports `faults`.
     pub fn refuse(&self, faults: Faults) -> Stop {
         let program = self.name;
         Stop::Faults { program, faults }
@@ -174,7 +175,7 @@
             .opt_value_from_fn(row.flag, |it| Ok::<_, fmt::Error>(OsString::from(it)))
             .map_err(|error| match error {
                 Error::NonUtf8Argument => Fault::encoding(row),
-                _ => Fault::no_value(row),
+                _ => Fault::missing_value(row),
             })?;
         let variable = || {
             let text = variables.get(&row.variable());
@@ -190,45 +191,45 @@
         let text = text.into_string().map_err(|_| Fault::encoding(row))?;
         match (row.check)(&text) {
             Ok(()) => Ok(Some(text)),
-            // The parser's own words may quote a secret.
+            // The parser's message may quote a secret.
             Err(why) => Err(Fault::bad(row, &text, row.show(&why))),
         }
     }
 
-    /// Takes out flags that stand without a value, for the library would take the next flag as one.
-    fn drop_bare(&self, args: Vec<OsString>, faults: &mut Faults) -> Vec<OsString> {
+    /// Removes flags that lack their value, because pico-args would take the next flag as the value.
+    fn remove_valueless_flags(&self, args: Vec<OsString>, faults: &mut Faults) -> Vec<OsString> {
         let mut kept = Vec::new();
         let mut args = args.into_iter().peekable();
         while let Some(text) = args.next() {
-            let Some(row) = self.find(&text).filter(|it| !it.is_switch()) else {
+            let Some(row) = self.find_row(&text).filter(|it| !it.is_switch()) else {
                 kept.push(text);
                 continue;
             };
-            match args.next_if(|it| self.find(it).is_none()) {
+            match args.next_if(|it| self.find_row(it).is_none()) {
                 Some(value) => kept.extend([text, value]),
-                None => faults.0.push(Fault::no_value(row)),
+                None => faults.0.push(Fault::missing_value(row)),
             }
         }
         kept
     }
 
-    fn find(&self, flag: &OsStr) -> Option<&'static Row> {
+    fn find_row(&self, flag: &OsStr) -> Option<&'static Row> {
         self.settings.iter().find(|it| *flag == *it.flag)
     }
 
-    fn operands(&self, rest: Vec<OsString>, faults: &mut Faults) -> Vec<String> {
+    fn parse_operands(&self, rest: Vec<OsString>, faults: &mut Faults) -> Vec<String> {
         let mut operands = Vec::new();
         let mut after_flag = false;
         for text in rest {
             let text = text.to_string_lossy().into_owned();
             if text.starts_with('-') && text.len() > 1 {
                 after_flag = !text.contains('=');
-                self.left_over(&text, faults);
+                self.report_unparsed_flag(&text, faults);
             } else if after_flag {
-                // Taken to be the value of the unknown flag; it may be a secret, so it is not repeated.
+                // Probably the value of the unknown flag before it; not printed, as it may be a secret.
                 after_flag = false;
-            } else if operands.len() == self.operands.len() && !self.repeats() {
-                faults.0.push(Fault::Extra { text });
+            } else if operands.len() == self.operands.len() && !self.has_repeated_operand() {
+                faults.0.push(Fault::ExtraArgument { text });
             } else {
                 operands.push(text);
             }
@@ -236,26 +237,26 @@
         let missing = self.operands.iter().skip(operands.len());
         faults
             .0
-            .extend(missing.map(|it| Fault::NoOperand { name: it.name }));
+            .extend(missing.map(|it| Fault::MissingOperand { name: it.name }));
         operands
     }
 
-    /// Whether the last operand may be given several times.
-    fn repeats(&self) -> bool {
+    /// Returns whether the last operand may be given several times.
+    fn has_repeated_operand(&self) -> bool {
         self.operands
             .last()
             .is_some_and(|it| it.name.ends_with("..."))
     }
 
-    fn left_over(&self, text: &str, faults: &mut Faults) {
+    fn report_unparsed_flag(&self, text: &str, faults: &mut Faults) {
         let flag = text.split('=').next().unwrap_or(text);
         if let Some(row) = self.settings.iter().find(|it| it.flag == flag) {
-            // The library leaves a flag in place whose value it could not read.
-            let told = faults.0.iter().any(|it| it.flag() == Some(row.flag));
+            // pico-args leaves a flag in place if it could not read its value.
+            let is_reported = faults.0.iter().any(|it| it.flag() == Some(row.flag));
             if row.is_switch() && text.contains('=') {
                 let text = text.to_owned();
-                faults.0.push(Fault::Extra { text });
-            } else if !told {
+                faults.0.push(Fault::ExtraArgument { text });
+            } else if !is_reported {
                 faults.0.push(Fault::Repeated { flag: row.flag });
             }
             return;
@@ -265,14 +266,14 @@
         faults
             .0
             .push(match nearest(&flag, known.chain(["--help", "--version"])) {
-                Some(nearest) => Fault::Unknown { flag, nearest },
-                None => Fault::Strange { flag },
+                Some(nearest) => Fault::MistypedFlag { flag, nearest },
+                None => Fault::UnknownFlag { flag },
             });
     }
 }
 
 impl Suite {
-    /// Picks the command and reads its settings.
+    /// Selects the command by the first argument and parses its settings.
     pub fn parse(&self, mut input: Input) -> Result<(&'static str, Values), Stop> {
         let first = input.args.first().map(|it| it.to_string_lossy());
         let first = first.unwrap_or_default().into_owned();
@@ -290,14 +291,14 @@
         }
         Err(Stop::Faults {
             program: self.name,
-            faults: Faults(vec![self.no_command(first)]),
+            faults: Faults(vec![self.command_fault(first)]),
         })
     }
 
-    fn no_command(&self, text: String) -> Fault {
+    fn command_fault(&self, text: String) -> Fault {
         let names = self.commands.iter().map(|(name, _)| *name);
         if let Some(nearest) = nearest(&text, names.clone()) {
-            return Fault::UnknownCommand { text, nearest };
+            return Fault::MistypedCommand { text, nearest };
         }
         let given = match text.is_empty() || text.starts_with('-') {
             true => "the command is missing".to_owned(),
@@ -309,12 +310,12 @@
 }
 
 impl Values {
-    /// The value of a setting that has a default or is required.
+    /// Returns the value of a setting that has a default or is required.
     ///
     /// # Panics
     ///
-    /// If the setting is not in the program's table, is optional, or has a default that does not parse:
-    /// all three are mistakes in the binary itself, found by the first run of it.
+    /// Panics if the setting is not in the program's table, is optional and absent, or has a default that
+    /// does not parse. All three are programming errors in the table.
     pub fn get<T>(&self, setting: &Setting<T>) -> T
     where
         T: FromStr,
@@ -326,7 +327,7 @@
         })
     }
 
-    /// The value of a setting, if it has one.
+    /// Returns the value of a setting, if it has one.
     pub fn find<T>(&self, setting: &Setting<T>) -> Option<T>
     where
         T: FromStr,
@@ -336,28 +337,31 @@
         let text = self.texts.get(row.flag)?;
         match text.parse() {
             Ok(value) => Some(value),
-            Err(_) => panic!("{}: its default does not parse: mend the table", row.flag),
+            Err(_) => panic!(
+                "the default of {} does not parse: correct it in the table",
+                row.flag
+            ),
         }
     }
 
-    /// The operand at `idx` of the program's list.
+    /// Returns the operand at position `idx`.
     pub fn operand(&self, idx: usize) -> &str {
         &self.operands[idx]
     }
 
-    /// Every operand, in order.
+    /// Returns all operands, in order.
     pub fn operands(&self) -> &[String] {
         &self.operands
     }
 
-    /// Each setting's name and text, secrets hidden; for the log line at start.
+    /// Returns each setting's name and text with secrets hidden, for the log line at startup.
     pub fn pairs(&self) -> Vec<(&'static str, String)> {
         let shown = self.shown();
         let pairs = shown.map(|(flag, text)| (flag.trim_start_matches('-'), text.to_owned()));
         pairs.collect()
     }
 
-    /// Each setting's flag and text, secrets hidden.
+    /// Returns each setting's flag and text with secrets hidden.
     pub fn shown(&self) -> impl Iterator<Item = (&'static str, &str)> {
         self.settings.iter().filter_map(|row| {
             let text = self.texts.get(row.flag)?;
@@ -373,7 +377,7 @@
 }
 
 impl Stop {
-    /// What is printed: to standard output if asked for, else to standard error.
+    /// Returns the text to print: help or version for standard output, faults for standard error.
     pub fn text(&self) -> String {
         match self {
             Stop::Print(text) => text.clone(),
@@ -384,10 +388,10 @@
         }
     }
 
-    /// Prints it and gives the exit code to end with.
+    /// Prints the text and returns the exit code of the process.
     pub fn exit(self) -> ExitCode {
         let text = self.text();
-        // A closed pipe leaves nobody to tell.
+        // Write errors, such as a closed pipe, cannot be reported.
         match self {
             Stop::Print(_) => {
                 let _ = std::io::stdout().write_all(text.as_bytes());
@@ -401,9 +405,10 @@
     }
 }
 
+/// Returns the known name most similar to `text`, if it is close enough to suggest.
 fn nearest<'a>(text: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let near = known.map(|it| (strsim::damerau_levenshtein(text, it), it));
     let (distance, it) = near.min()?;
-    let close = distance <= GUESS_MAX && distance * 2 < it.len();
+    let close = distance <= SUGGESTION_DISTANCE_MAX && distance * 2 < it.len();
     close.then_some(it)
 }
--- a/crates/flags/src/setting.rs
+++ b/crates/flags/src/setting.rs
@@ -1,4 +1,4 @@
-//! One setting: its flag, variable, default and type.
+//! The declaration of one setting: flag, variable, default and type.
 
 use std::{fmt::Display, marker::PhantomData, str::FromStr};
 
@@ -14,40 +14,40 @@
 /// One row of a program's table: a [`Setting`] without its type.
 #[derive(Clone, Copy, Debug)]
 pub struct Row {
-    /// Long flag with its dashes, as in `--push-window`.
+    /// Long flag with its dashes, such as `--push-window`.
     pub flag: &'static str,
-    /// What the help calls the value, as in `ADDRESS`.
+    /// Placeholder of the value in the help, such as `ADDRESS`.
     pub value: &'static str,
     /// Unit of the value; empty if it has none.
     pub unit: &'static str,
-    /// One line on what it does.
+    /// One line of description.
     pub help: &'static str,
-    /// What holds when neither flag nor variable is given.
+    /// Used when neither the flag nor the variable is given.
     pub fallback: Fallback,
     /// Whether the value may be printed.
     pub exposure: Exposure,
     pub(crate) check: fn(&str) -> Result<(), String>,
 }
 
-/// What holds when a setting is not given.
+/// What applies when a setting is not given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fallback {
-    /// This text, read like a given one.
+    /// This text, parsed like a given one.
     Text(&'static str),
     /// The setting has no value.
     Absent,
-    /// The program does not start.
+    /// Parsing fails.
     Required,
-    /// The setting is a switch: it stands without a value, has no variable, and is off.
+    /// The setting is a switch, which takes no value and has no variable: it is off.
     Off,
 }
 
 /// Whether a setting's value may be printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exposure {
-    /// It may.
+    /// The value may be printed.
     Shown,
-    /// It never appears in help, faults, logs or debug output.
+    /// The value never appears in help, faults, logs or debug output.
     Secret,
 }
 
@@ -59,7 +59,7 @@
     T: FromStr,
     T::Err: Display,
 {
-    /// A setting that must be given. `flag` carries its dashes.
+    /// Returns a required setting; `flag` includes its dashes.
     pub const fn new(flag: &'static str, value: &'static str, help: &'static str) -> Setting<T> {
         Setting {
             row: Row {
@@ -75,38 +75,38 @@
         }
     }
 
-    /// Gives it a default text.
+    /// Sets the default text.
     pub const fn default(mut self, text: &'static str) -> Setting<T> {
         self.row.fallback = Fallback::Text(text);
         self
     }
 
-    /// Allows it to be left out; read it by [`crate::Values::find`].
+    /// Makes the setting optional; read it by [`crate::Values::find`].
     pub const fn optional(mut self) -> Setting<T> {
         self.row.fallback = Fallback::Absent;
         self
     }
 
-    /// Names its unit.
+    /// Sets the unit shown in the help.
     pub const fn unit(mut self, unit: &'static str) -> Setting<T> {
         self.row.unit = unit;
         self
     }
 
-    /// Keeps its value out of everything printed.
+    /// Hides the value in everything printed.
     pub const fn secret(mut self) -> Setting<T> {
         self.row.exposure = Exposure::Secret;
         self
     }
 
-    /// Its row for the program's table.
+    /// Returns the row for the program's table.
     pub const fn row(&self) -> Row {
         self.row
     }
 }
 
 impl Setting<bool> {
-    /// A flag without a value, off unless it stands in the arguments.
+    /// Returns a flag without a value, off unless it is among the arguments.
     pub const fn switch(flag: &'static str, help: &'static str) -> Setting<bool> {
         let mut switch = Setting::new(flag, "", help);
         switch.row.fallback = Fallback::Off;
@@ -115,18 +115,18 @@
 }
 
 impl Row {
-    /// Whether it stands without a value.
+    /// Returns whether the setting is a switch, which takes no value.
     pub fn is_switch(&self) -> bool {
         self.fallback == Fallback::Off
     }
 
-    /// Its environment variable: `--push-window` is `LABURNUM_PUSH_WINDOW`.
+    /// Returns the name of the environment variable: `LABURNUM_PUSH_WINDOW` for `--push-window`.
     pub fn variable(&self) -> String {
         let name = self.flag.trim_start_matches('-').replace('-', "_");
         format!("LABURNUM_{}", name.to_uppercase())
     }
 
-    /// `text`, unless it is secret.
+    /// Returns `text`, or [`HIDDEN`] if the setting is secret.
     pub fn show<'a>(&self, text: &'a str) -> &'a str {
         match self.exposure {
             Exposure::Shown => text,
--- a/crates/flags/tests/flags.rs
+++ b/crates/flags/tests/flags.rs
@@ -1,4 +1,4 @@
-//! Reading settings: order of sources, faults, help and secrets.
+//! Parsing of settings: precedence of sources, faults, help and secrets.
 
 use std::net::SocketAddr;
 
@@ -63,12 +63,12 @@
 #[test_case(&[], &[("LABURNUM_PUSH_WINDOW", "")], 20; "empty variable counts as unset")]
 #[test_case(&["--push-window", "40"], &[("LABURNUM_PUSH_WINDOW", "x")], 40; "flag before variable")]
 #[test_case(&["--push-window=50"], &[], 50; "flag with equals sign")]
-fn sources_in_order(args: &[&str], variables: &[(&str, &str)], window: u64) {
+fn flag_precedes_variable_precedes_default(args: &[&str], variables: &[(&str, &str)], window: u64) {
     assert_eq!(values(args, variables).get(&WINDOW), window);
 }
 
 #[test]
-fn lists_and_optional_settings() {
+fn lists_and_optional_settings_parse() {
     let none = values(&[], &[]);
     assert_eq!(none.get(&PEERS), List(Vec::new()));
     assert_eq!(none.find(&PLATFORM), None);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn all_faults_come_at_once() {
+fn all_faults_are_reported_at_once() {
     let text = text(
         &PROGRAM,
         &["--push-window=x", "--zoen=b"],
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn required_setting_and_operand() {
+fn missing_required_values_are_reported() {
     assert_eq!(
         text(&STRICT, &[], &[]),
         "demo run: --listen (LABURNUM_LISTEN) is required; add --listen ADDRESS\n\
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn required_setting_without_its_value_is_told_once() {
+fn missing_value_is_reported_once() {
     assert_eq!(
         text(&STRICT, &["profiles", "--listen"], &[]),
         "demo run: --listen: the value is missing; write --listen ADDRESS\n"
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn faults_found_by_the_program_read_alike() {
+fn rejected_values_read_like_unparsable_ones() {
     let fault = Fault::bad(&ZONE.row(), "b", "no such zone in the region");
     assert_eq!(
         fault.to_string(),
@@ -149,14 +149,14 @@
 #[test_case(&["sing"], Err("demo: unknown command \"sing\"; give one of: run, platform\n"); "strange")]
 #[test_case(&[], Err("demo: the command is missing; give one of: run, platform\n"); "none")]
 #[test_case(&["--version"], Err("demo 1.2.3\n"); "version")]
-fn commands(args: &[&str], expected: Result<&str, &str>) {
+fn suite_selects_the_command(args: &[&str], expected: Result<&str, &str>) {
     let parsed = SUITE.parse(Input::new(args.iter().copied(), []));
     let seen = parsed.map(|(name, _)| name).map_err(|stop| stop.text());
     assert_eq!(seen, expected.map_err(str::to_owned));
 }
 
 #[test]
-fn help_lists_flags_variables_defaults_units_and_exit_codes() {
+fn help_lists_flags_and_exit_codes() {
     let text = text(&PROGRAM, &["--help"], &[]);
     let parts = [
         "usage: demo [FLAGS]",
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn secrets_are_read_but_never_shown() {
+fn secrets_are_never_printed() {
     let values = values(&["--key=4711"], &[]);
     assert_eq!(values.get(&KEY), 4711);
     let shown = format!("{values:?}");
@@ -200,7 +200,7 @@
 #[test_case(&["a"], false, &["a"]; "off")]
 #[test_case(&["--json", "a", "b"], true, &["a", "b"]; "takes no value")]
 #[test_case(&["a", "--zone", "c", "--json"], true, &["a"]; "last")]
-fn switches_and_repeated_operands(args: &[&str], json: bool, files: &[&str]) {
+fn switches_and_repeated_operands_parse(args: &[&str], json: bool, files: &[&str]) {
     let input = Input::new(args.iter().copied(), [("LABURNUM_JSON", "true")]);
     let values = CHECK.parse(input).expect("no faults");
     assert_eq!(values.get(&JSON), json);
@@ -211,7 +211,7 @@
 #[test_case(&["--json", "--json", "a"], "--json is given more than once"; "switch twice")]
 #[test_case(&["--zone", "--json", "a"], "--zone: the value is missing"; "switch in place of a value")]
 #[test_case(&["--json"], "FILE... is missing"; "no operand")]
-fn faults_of_switches_and_repeated_operands(args: &[&str], expected: &str) {
+fn bad_switches_and_operands_are_reported(args: &[&str], expected: &str) {
     let found = text(&CHECK, args, &[]);
     assert!(found.contains(expected), "{found}");
 }
