--- a/crates/bench/src/cli.rs
+++ b/crates/bench/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: `smoke`, `converge` and `load`.
 
 use std::str::FromStr;
 
@@ -9,10 +9,10 @@
     load::command,
 };
 
-/// Name of the command that shows that everything works.
+/// Name of the command that checks the whole path in seconds.
 pub const SMOKE_COMMAND: &str = "smoke";
 
-/// Prints one JSON object in place of tables.
+/// Flag for output as one JSON object.
 pub const JSON: Setting<bool> =
     Setting::switch("--json", "Print one JSON object in place of tables.");
 
@@ -25,7 +25,7 @@
     exits: EXITS,
 };
 
-/// Name of the command that measures convergence.
+/// Name of the command that measures convergence of changes.
 pub const CONVERGE_COMMAND: &str = "converge";
 
 const NODES: Setting<Nodes> = Setting::new("--nodes", "N", "Nodes, 4 to 200.").default("20");
@@ -81,7 +81,7 @@
     Exit::USAGE,
 ];
 
-/// Every command.
+/// All commands.
 pub const SUITE: Suite = Suite {
     name: "laburnum-bench",
     version: env!("CARGO_PKG_VERSION"),
@@ -93,7 +93,7 @@
     ],
 };
 
-/// Reads what `converge` is to do.
+/// Returns the plan of `converge` from its settings.
 pub fn plan(values: &Values) -> Plan {
     Plan {
         nodes: values.get(&NODES).0,
@@ -107,11 +107,11 @@
     }
 }
 
-/// A number of nodes that one machine carries.
+/// A number of nodes that one machine can run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Nodes(usize);
 
-/// Not a number of nodes.
+/// The error of a text that is not a number of nodes.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("not a whole number from 4 to 200")]
 struct BadNodes;
--- a/crates/bench/src/converge.rs
+++ b/crates/bench/src/converge.rs
@@ -1,7 +1,7 @@
-//! How long changes take to be in force in every view, and what they cost.
+//! `laburnum-bench converge`: time until changes are in force in every view, and their cost.
 //!
-//! Every case runs on one fleet, one after another; the baseline, which polls the table and sends full texts,
-//! has a fleet of its own in the same run.
+//! The cases run one after another on one fleet. The baseline, whose nodes poll the table for full texts, has
+//! a fleet of its own.
 
 use std::{str::FromStr, time::Instant};
 
@@ -21,33 +21,33 @@
 
 use self::{cost::Cost, workload::Workload};
 
-/// What to measure.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// How configuration spreads.
+    /// Preset of configuration distribution.
     pub preset: Preset,
-    /// Cases, in the order of [`Case`].
+    /// Cases to run; they run in the order of [`Case`].
     pub cases: Vec<Case>,
-    /// Single changes.
+    /// Number of single changes.
     pub repeat: usize,
-    /// Services.
+    /// Number of services.
     pub services: usize,
-    /// Changes in the burst.
+    /// Number of changes in the burst.
     pub burst: usize,
-    /// Length of the outage, in seconds.
+    /// Duration of the outage, in seconds.
     pub outage: u64,
 }
 
-/// Settings of a user.
+/// Preset of distribution settings, named after a user's fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preset {
-    /// Short convergence.
+    /// Optimized for short convergence.
     Nile,
-    /// Few bytes.
+    /// Optimized for few bytes.
     Cascadia,
 }
 
@@ -58,50 +58,53 @@
     Change,
     /// Many changes at once.
     Burst,
-    /// Half of the nodes start again at once.
+    /// Half of the nodes restart at once.
     Herd,
-    /// The platform answers nothing for a while; then many changes come at once.
+    /// The platform rejects every call for a while; then many changes are made at once.
     Outage,
-    /// A relay dies while it pushes.
+    /// A relay is killed while it pushes.
     Relay,
     /// Single changes with every node polling for full texts.
     Baseline,
 }
 
-/// Not one of the words.
+/// The error of a text that names no preset or case; holds the valid names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not one of {0}")]
 pub struct BadWord(&'static str);
 
-/// What one case found.
+/// Results of one case.
 #[derive(Clone, Debug)]
 struct Outcome {
     name: &'static str,
-    /// Times until in force everywhere, in ms, sorted.
+    /// Convergence times in ms, sorted.
     times: Vec<u64>,
-    /// Changes made.
+    /// Number of changes made.
     changes: usize,
     cost: Cost,
-    /// Most reads of the platform in one second.
+    /// Highest number of platform reads in one second.
     reads_peak: u64,
-    /// Rows and objects read.
+    /// Number of rows and objects read.
     read_rows: u64,
-    /// Calls that the platform refused for its rate.
+    /// Number of calls that the platform rejected by its rate limit.
     throttled: u64,
 }
 
-/// Longest wait for a fleet to settle, in ms.
+/// Maximum wait for a condition on the fleet, in ms.
 const WAIT_MS: u64 = 60_000;
 
-/// What the platform serves a second; the letter's figures.
-const READS: u64 = 2_000;
-const WRITES: u64 = 500;
+/// Rate limits of the platform, in calls per second.
+const READS_PER_SECOND: u64 = 2_000;
+const WRITES_PER_SECOND: u64 = 500;
 
-/// Goals, in ms, bytes and factors.
-const CHANGE_MS: u64 = 1_000;
-const MANY_MS: u64 = 8_000;
-const BUDGET: f64 = 2_048.0;
-const FEWER: f64 = 10.0;
+/// Maximum p99 convergence time of single changes, in ms.
+const CHANGE_MAX_MS: u64 = 1_000;
+/// Maximum convergence time of the other cases, in ms.
+const RECOVERY_MAX_MS: u64 = 8_000;
+/// Maximum link bytes per second of a node, averaged over a minute.
+const LINK_BUDGET: f64 = 2_048.0;
+/// Minimum factor by which polling for full texts costs more bytes per change.
+const SAVING_MIN: f64 = 10.0;
 
 impl FromStr for Preset {
     type Err = BadWord;
@@ -132,8 +135,8 @@
 }
 
 impl Outcome {
-    /// The value that `percent` of the times don't exceed.
-    fn at(&self, percent: usize) -> u64 {
+    /// Returns a percentile of the convergence times.
+    fn percentile(&self, percent: usize) -> u64 {
         let idx = (self.times.len() * percent).div_ceil(100);
         let time = self.times.get(idx.saturating_sub(1));
         time.copied().unwrap_or_default()
@@ -152,7 +155,7 @@
     }
 
     fn convergence(&self) -> Value {
-        json!({ "p50": self.at(50), "p99": self.at(99), "max": self.at(100) })
+        json!({ "p50": self.percentile(50), "p99": self.percentile(99), "max": self.percentile(100) })
     }
 
     fn row(&self) -> [String; 14] {
@@ -160,15 +163,15 @@
         [
             self.name.to_owned(),
             self.times.len().to_string(),
-            self.at(50).to_string(),
-            self.at(99).to_string(),
-            self.at(100).to_string(),
+            self.percentile(50).to_string(),
+            self.percentile(99).to_string(),
+            self.percentile(100).to_string(),
             rate(self.cost.link_mean),
             rate(self.cost.link_worst),
             rate(self.cost.spread_mean),
             rate(self.cost.read_mean),
             rate(self.cost.written_mean),
-            rate(self.cost.spreading(self.changes)),
+            rate(self.cost.bytes_per_change(self.changes)),
             self.reads_peak.to_string(),
             self.read_rows.to_string(),
             self.throttled.to_string(),
@@ -176,7 +179,7 @@
     }
 }
 
-/// Runs the plan.
+/// Runs the cases of the plan.
 pub async fn run(plan: &Plan) -> Result<Report, FleetError> {
     let start = Instant::now();
     let spread = match plan.preset {
@@ -184,8 +187,8 @@
         Preset::Cascadia => SpreadSettings::cascadia(),
     };
     let mut fleet = Fleet::start(&layout(plan, spread.clone())).await?;
-    let watch = watch(&fleet);
-    let mut work = Workload::seed(&fleet, plan.services).await?;
+    let watch = start_watch(&fleet);
+    let mut work = Workload::start(&fleet, plan.services).await?;
     let mut outcomes = vec![cases::idle(&fleet, &watch).await];
     for case in [
         Case::Change,
@@ -204,7 +207,7 @@
         );
         outcomes.push(match case {
             Case::Burst => cases::burst(&fleet, &watch, &mut work, plan.burst).await?,
-            Case::Herd => cases::herd(&mut fleet, &watch).await?,
+            Case::Herd => cases::restart_half(&mut fleet, &watch).await?,
             Case::Outage => cases::outage(&fleet, &watch, &mut work, plan.outage).await?,
             Case::Relay => cases::relay(&mut fleet, &watch, &mut work).await?,
             Case::Change | Case::Baseline => {
@@ -215,11 +218,11 @@
     let findings = watch.close();
     fleet.close().await;
     let baseline = match plan.cases.contains(&Case::Baseline) {
-        true => Some(baseline(plan, spread).await?),
+        true => Some(run_baseline(plan, spread).await?),
         false => None,
     };
     let mut report = Report::default();
-    judge(&mut report, &outcomes, baseline.as_ref());
+    add_checks(&mut report, &outcomes, baseline.as_ref());
     let mut table = Table::new(
         "cases; bytes are B/s a node, sent over the link or exchanged with the platform",
         &[
@@ -246,7 +249,7 @@
     report.tables.push(table);
     report.check(
         "no view went back or had a route to an absent service",
-        findings.breaks() == 0,
+        findings.violations() == 0,
         format!(
             "{} back, {} dangling",
             findings.steps_back, findings.dangling
@@ -259,7 +262,7 @@
     report.field("nodes", plan.nodes);
     report.field("convergence_ms", main.convergence());
     report.field("control_bytes", json!(main.cost));
-    report.field("invariant_breaks", findings.breaks());
+    report.field("invariant_breaks", findings.violations());
     report.field(
         "baseline",
         baseline.as_ref().map_or(Value::Null, Outcome::json),
@@ -271,15 +274,16 @@
     Ok(report)
 }
 
-async fn baseline(plan: &Plan, spread: SpreadSettings) -> Result<Outcome, FleetError> {
+/// Measures single changes on a fleet whose nodes poll the table for full texts.
+async fn run_baseline(plan: &Plan, spread: SpreadSettings) -> Result<Outcome, FleetError> {
     let spread = SpreadSettings {
         mode: SpreadMode::Poll,
         form: SpreadForm::Full,
         ..spread
     };
     let fleet = Fleet::start(&layout(plan, spread)).await?;
-    let watch = watch(&fleet);
-    let mut work = Workload::seed(&fleet, plan.services).await?;
+    let watch = start_watch(&fleet);
+    let mut work = Workload::start(&fleet, plan.services).await?;
     let outcome = cases::change(&fleet, &watch, &mut work, plan.repeat, "baseline").await?;
     watch.close();
     fleet.close().await;
@@ -293,71 +297,72 @@
         regions: 2,
         spread,
         faults: Faults {
-            reads: READS,
-            writes: WRITES,
+            reads: READS_PER_SECOND,
+            writes: WRITES_PER_SECOND,
             ..Faults::default()
         },
         ..Layout::default()
     }
 }
 
-fn watch(fleet: &Fleet) -> Watch {
+fn start_watch(fleet: &Fleet) -> Watch {
     let controls = fleet.controls().map(|(_, it)| it.clone());
     Watch::start(controls, fleet.platform().clone())
 }
 
-fn judge(report: &mut Report, outcomes: &[Outcome], baseline: Option<&Outcome>) {
+/// Adds the checks of every case to the report.
+fn add_checks(report: &mut Report, outcomes: &[Outcome], baseline: Option<&Outcome>) {
     for it in outcomes {
-        let (p99, max) = (it.at(99), it.at(100));
+        let (p99, max) = (it.percentile(99), it.percentile(100));
         match it.name {
             "change" => {
                 report.check(
                     "one change: p99 below 1 s",
-                    p99 < CHANGE_MS,
+                    p99 < CHANGE_MAX_MS,
                     format!("{p99} ms"),
                 );
                 if let Some(baseline) = baseline {
-                    fewer(report, it, baseline);
+                    check_saving(report, it, baseline);
                 }
             }
             "burst" => {
                 report.check(
                     "a burst is in force within 8 s",
-                    max < MANY_MS,
+                    max < RECOVERY_MAX_MS,
                     format!("{max} ms"),
                 );
                 let worst = it.cost.link_worst_minute;
                 let found = format!("{worst:.0} B/s for the worst node");
                 report.check(
                     "a burst costs at most 2 KB/s a node over a minute",
-                    worst <= BUDGET,
+                    worst <= LINK_BUDGET,
                     found,
                 );
             }
             "herd" => {
                 report.check(
                     "a herd is back within 8 s",
-                    max < MANY_MS,
+                    max < RECOVERY_MAX_MS,
                     format!("{max} ms"),
                 );
                 let found = format!("{} reads/s at the peak", it.reads_peak);
                 report.check(
                     "a herd stays within the platform's reads",
-                    it.reads_peak <= READS,
+                    it.reads_peak <= READS_PER_SECOND,
                     found,
                 );
             }
             "outage" => {
                 report.check(
                     "after an outage all is in force within 8 s",
-                    max < MANY_MS,
+                    max < RECOVERY_MAX_MS,
                     format!("{max} ms"),
                 );
             }
             "relay death" => {
                 report.check(
                     "a relay's death delays at most 8 s",
-                    max < MANY_MS,
+                    max < RECOVERY_MAX_MS,
                     format!("{max} ms"),
                 );
             }
@@ -366,14 +371,14 @@
     }
 }
 
-/// Compares what carried each change to the nodes.
-fn fewer(report: &mut Report, outcome: &Outcome, baseline: &Outcome) {
-    let lhs = outcome.cost.spreading(outcome.changes);
-    let rhs = baseline.cost.spreading(baseline.changes);
+/// Checks the distribution bytes per change against those of the baseline.
+fn check_saving(report: &mut Report, outcome: &Outcome, baseline: &Outcome) {
+    let lhs = outcome.cost.bytes_per_change(outcome.changes);
+    let rhs = baseline.cost.bytes_per_change(baseline.changes);
     let factor = rhs / lhs.max(f64::MIN_POSITIVE);
     report.check(
         "10 times fewer bytes a change than polling for full texts",
-        factor >= FEWER,
+        factor >= SAVING_MIN,
         format!("{factor:.1}: {lhs:.0} against {rhs:.0} bytes a node"),
     );
 }
--- a/crates/bench/src/converge/cases.rs
+++ b/crates/bench/src/converge/cases.rs
@@ -1,4 +1,4 @@
-//! One experiment each.
+//! The cases of `converge`, one function each.
 
 use std::time::{Duration, Instant};
 
@@ -13,29 +13,29 @@
 
 use super::{Outcome, WAIT_MS, cost::Reading, workload::Workload};
 
-/// Length of the quiet case, in ms.
+/// Duration of the idle case, in ms.
 const IDLE_MS: u64 = 10_000;
 
-/// Time in which members get to know each other before the quiet case, in ms.
+/// Time for the membership to settle before the idle case, in ms.
 const SETTLE_MS: u64 = 5_000;
 
-/// Pause between two single changes, in ms; no divisor of the kernel's intervals, so that phases vary.
+/// Pause between two single changes, in ms; no divisor of the kernel's intervals, so that timer phases vary.
 const PAUSE_MS: u64 = 237;
 
-/// Times that a relay dies.
-const RELAYS: usize = 5;
+/// Number of relays killed.
+const RELAY_KILLS: usize = 5;
 
-/// A case that is being measured.
+/// Start state and samples of a case in progress.
 struct Running<'a> {
     name: &'static str,
-    fleet_reading: Reading,
-    platform: Stats,
+    start_reading: Reading,
+    start_stats: Stats,
     watch: &'a Watch,
     times: Vec<u64>,
     changes: usize,
 }
 
-/// Nothing happens.
+/// No changes: measures the fleet's background cost.
 pub async fn idle(fleet: &Fleet, watch: &Watch) -> Outcome {
     sleep(SETTLE_MS).await;
     let running = Running::start("idle", fleet, watch).await;
@@ -43,7 +43,7 @@
     running.finish(fleet).await
 }
 
-/// One change after another, each through the next node, and timed from its acceptance.
+/// Makes one change after another, each through the next node; timed from acceptance.
 pub async fn change(
     fleet: &Fleet,
     watch: &Watch,
@@ -57,13 +57,15 @@
         let accepted = work
             .submit(fleet, idx % fleet.len(), idx % work.len())
             .await?;
-        running.times.push(in_force(fleet, accepted.seq).await?);
+        running
+            .times
+            .push(wait_in_force(fleet, accepted.seq).await?);
         sleep(PAUSE_MS).await;
     }
     Ok(running.finish(fleet).await)
 }
 
-/// Many changes at once, timed from the first submission.
+/// Makes many changes at once; timed from the first submission.
 pub async fn burst(
     fleet: &Fleet,
     watch: &Watch,
@@ -72,31 +74,36 @@
 ) -> Result<Outcome, FleetError> {
     let mut running = Running::start("burst", fleet, watch).await;
     running.changes = changes;
-    running.times.push(flood(fleet, work, changes).await?);
+    running
+        .times
+        .push(submit_burst(fleet, work, changes).await?);
     Ok(running.finish(fleet).await)
 }
 
-/// Half of the nodes are killed and start again, timed from the first start until every node is ready and
-/// holds what was accepted before.
-pub async fn herd(fleet: &mut Fleet, watch: &Watch) -> Result<Outcome, FleetError> {
+/// Kills half of the nodes and restarts them; timed from the first restart until every node is ready at the
+/// highest position seen before.
+pub async fn restart_half(fleet: &mut Fleet, watch: &Watch) -> Result<Outcome, FleetError> {
     let mut running = Running::start("herd", fleet, watch).await;
     let highest = fleet.controls().map(|(_, it)| it.view().seq).max();
     let highest = highest.unwrap_or_default();
-    let herd: Vec<usize> = (0..fleet.len()).filter(|it| it % 2 == 1).collect();
-    for idx in &herd {
+    let half: Vec<usize> = (0..fleet.len()).filter(|it| it % 2 == 1).collect();
+    for idx in &half {
         fleet.kill(*idx).await;
     }
     let start = Instant::now();
-    for idx in &herd {
+    for idx in &half {
         restart(fleet, watch, *idx).await?;
     }
     let back = |it: &laburnum_kernel::View| it.ready && it.seq >= highest;
-    fleet.until("the herd's return", WAIT_MS, back).await?;
+    fleet
+        .wait_until("the restarted nodes' readiness", WAIT_MS, back)
+        .await?;
     running.times.push(start.elapsed().as_millis() as u64);
     Ok(running.finish(fleet).await)
 }
 
-/// The platform refuses everything for `length` seconds, then every service changes at once; timed from its end.
+/// Makes the platform reject every call for `length` seconds, then changes every service at once; timed from
+/// the end of the outage.
 pub async fn outage(
     fleet: &Fleet,
     watch: &Watch,
@@ -104,24 +111,26 @@
     length: u64,
 ) -> Result<Outcome, FleetError> {
     let mut running = Running::start("outage", fleet, watch).await;
-    fleet.outage(Outage::Refuse);
+    fleet.set_outage(Outage::Refuse);
     sleep(length * 1_000).await;
-    fleet.outage(Outage::None);
+    fleet.set_outage(Outage::None);
     let services = work.len();
     running.changes = services;
-    running.times.push(flood(fleet, work, services).await?);
+    running
+        .times
+        .push(submit_burst(fleet, work, services).await?);
     Ok(running.finish(fleet).await)
 }
 
-/// A relay is killed as soon as a change is accepted, timed from then until every other node holds it.
+/// Kills a relay as soon as a change is accepted; timed from then until every other node holds the change.
 pub async fn relay(
     fleet: &mut Fleet,
     watch: &Watch,
     work: &mut Workload,
 ) -> Result<Outcome, FleetError> {
     let mut running = Running::start("relay death", fleet, watch).await;
-    running.changes = RELAYS;
-    for idx in 0..RELAYS {
+    running.changes = RELAY_KILLS;
+    for idx in 0..RELAY_KILLS {
         let relays = relays(fleet);
         let Some(victim) = relays.get(idx % relays.len().max(1)).copied() else {
             break;
@@ -134,13 +143,13 @@
         let accepted = work.submit(fleet, entry, idx % work.len()).await?;
         let start = Instant::now();
         fleet.kill(victim).await;
-        in_force(fleet, accepted.seq).await?;
+        wait_in_force(fleet, accepted.seq).await?;
         running.times.push(start.elapsed().as_millis() as u64);
         restart(fleet, watch, victim).await?;
         fleet
-            .until("the relay's return", WAIT_MS, |it| it.ready)
+            .wait_until("the restarted relay's readiness", WAIT_MS, |it| it.ready)
             .await?;
-        // The counters tell who is a relay with a delay.
+        // Whether a node is a relay shows in its counters only after their refresh.
         sleep(2 * STATS_MS).await;
     }
     Ok(running.finish(fleet).await)
@@ -148,13 +157,13 @@
 
 impl<'a> Running<'a> {
     async fn start(name: &'static str, fleet: &Fleet, watch: &'a Watch) -> Running<'a> {
-        // The counters are refreshed with a delay; what came before must not count.
+        // Wait for a refresh of the counters, so that earlier traffic does not count.
         sleep(STATS_MS + PAUSE_MS).await;
         watch.reset_peak();
         Running {
             name,
-            fleet_reading: Reading::take(fleet),
-            platform: fleet.platform().stats(),
+            start_reading: Reading::take(fleet),
+            start_stats: fleet.platform().stats(),
             watch,
             times: Vec::new(),
             changes: 0,
@@ -169,16 +178,21 @@
             name: self.name,
             times: self.times,
             changes: self.changes,
-            cost: self.fleet_reading.until(&Reading::take(fleet)),
+            cost: self.start_reading.cost_until(&Reading::take(fleet)),
             reads_peak: self.watch.findings().reads_peak,
-            read_rows: platform.read_rows - self.platform.read_rows,
-            throttled: platform.throttled - self.platform.throttled,
+            read_rows: platform.read_rows - self.start_stats.read_rows,
+            throttled: platform.throttled - self.start_stats.throttled,
         }
     }
 }
 
-/// Changes services at once, round by round, and waits until all is in force; the time from the first submission.
-async fn flood(fleet: &Fleet, work: &mut Workload, changes: usize) -> Result<u64, FleetError> {
+/// Submits `changes` in rounds of at most one per service and waits until all are in force; returns the time
+/// in ms from the first submission.
+async fn submit_burst(
+    fleet: &Fleet,
+    work: &mut Workload,
+    changes: usize,
+) -> Result<u64, FleetError> {
     let start = Instant::now();
     let mut last = Seq::default();
     let mut left = changes;
@@ -191,13 +205,14 @@
         "event=accepted changes={changes} ms={}",
         start.elapsed().as_millis()
     );
-    in_force(fleet, last).await?;
+    wait_in_force(fleet, last).await?;
     Ok(start.elapsed().as_millis() as u64)
 }
 
-async fn in_force(fleet: &Fleet, seq: Seq) -> Result<u64, FleetError> {
+/// Waits until every node's view holds `seq`; returns the time in ms.
+async fn wait_in_force(fleet: &Fleet, seq: Seq) -> Result<u64, FleetError> {
     let took = fleet
-        .until("a change in every view", WAIT_MS, |it| it.seq >= seq)
+        .wait_until("a change in every view", WAIT_MS, |it| it.seq >= seq)
         .await?;
     Ok(took.as_millis() as u64)
 }
@@ -205,7 +220,7 @@
 async fn restart(fleet: &mut Fleet, watch: &Watch, idx: usize) -> Result<(), FleetError> {
     fleet.restart(idx).await?;
     if let Some(node) = fleet.node(idx) {
-        watch.restarted(idx, node.control().clone());
+        watch.set_restarted(idx, node.control().clone());
     }
     Ok(())
 }
--- a/crates/bench/src/converge/cost.rs
+++ b/crates/bench/src/converge/cost.rs
@@ -1,4 +1,4 @@
-//! Control bytes between two moments.
+//! Control traffic of the fleet between two readings.
 
 use std::time::Instant;
 
@@ -7,54 +7,54 @@
 
 use crate::fleet::Fleet;
 
-/// Counters of every place at one moment. A place that is down counts nothing.
+/// Byte counters of every place at one time; the link counters of a place that is down are zero.
 #[derive(Clone, Debug)]
 pub struct Reading {
     taken: Instant,
-    nodes: Vec<Node>,
+    nodes: Vec<Counters>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Node {
+struct Counters {
     link: u64,
     spread: u64,
     read: u64,
     written: u64,
 }
 
-/// Bytes a second of a node.
+/// Control traffic in bytes per second and node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Cost {
-    /// Seconds measured.
+    /// Duration of the measurement in seconds.
     pub seconds: f64,
-    /// Sent over the link, mean of the nodes.
+    /// Sent over the link, mean over the nodes.
     pub link_mean: f64,
     /// Sent over the link by the node that sent most.
     pub link_worst: f64,
-    /// The same, as an average over one minute.
+    /// The same, averaged over at least one minute.
     pub link_worst_minute: f64,
-    /// Of `link_mean`, that which carries configuration.
+    /// Part of `link_mean` that distributes configuration.
     pub spread_mean: f64,
-    /// Read from the platform, mean of the nodes.
+    /// Read from the platform, mean over the nodes.
     pub read_mean: f64,
-    /// Written to the platform, mean of the nodes: acceptance, whatever then spreads it.
+    /// Written to the platform to accept changes, mean over the nodes.
     pub written_mean: f64,
 }
 
 const MINUTE_S: f64 = 60.0;
 
 impl Reading {
-    /// The counters now; those of the link may be a second old.
+    /// Reads the counters; those of the link may be a second old.
     pub fn take(fleet: &Fleet) -> Reading {
         let spread = Kind::ALL.iter().position(|it| *it == Kind::Spread);
         let nodes = (0..fleet.len()).map(|idx| {
             let stats = fleet.node(idx).map(|it| it.control().stats());
             let sent = stats.map(|it| it.traffic.sent).unwrap_or_default();
-            Node {
+            Counters {
                 link: sent.iter().sum(),
                 spread: spread.map_or(0, |it| sent[it]),
-                read: fleet.metered(idx).read(),
-                written: fleet.metered(idx).written(),
+                read: fleet.metered(idx).read_bytes(),
+                written: fleet.metered(idx).written_bytes(),
             }
         });
         Reading {
@@ -63,15 +63,15 @@
         }
     }
 
-    /// What was spent from `self` to `later`. A process that started between counts from zero.
-    pub fn until(&self, later: &Reading) -> Cost {
+    /// Returns the cost between `self` and `later`. Counters of a node restarted in between start at zero.
+    pub fn cost_until(&self, later: &Reading) -> Cost {
         let seconds = later
             .taken
             .duration_since(self.taken)
             .as_secs_f64()
             .max(f64::MIN_POSITIVE);
         let pairs = || self.nodes.iter().zip(&later.nodes);
-        let spent = |read: fn(&Node) -> u64| {
+        let spent = |read: fn(&Counters) -> u64| {
             let spent = pairs().map(|(lhs, rhs)| match read(rhs).checked_sub(read(lhs)) {
                 Some(it) => it,
                 None => read(rhs),
@@ -94,9 +94,9 @@
 }
 
 impl Cost {
-    /// Bytes of a node for each of `changes`, of what carries configuration to the nodes: the link's spread
-    /// messages and the platform's reads.
-    pub fn spreading(&self, changes: usize) -> f64 {
+    /// Returns the bytes per node and change that distribute configuration: the link's spread messages and
+    /// the platform's reads.
+    pub fn bytes_per_change(&self, changes: usize) -> f64 {
         (self.spread_mean + self.read_mean) * self.seconds / changes.max(1) as f64
     }
 }
--- a/crates/bench/src/converge/workload.rs
+++ b/crates/bench/src/converge/workload.rs
@@ -1,4 +1,4 @@
-//! Services whose documents change.
+//! A workload of services whose documents are changed.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 
 use super::WAIT_MS;
 
-/// Every service with its present revision. Odd services route to the service before them.
+/// The services with their current revisions; each odd service routes to its predecessor.
 #[derive(Debug)]
 pub struct Workload {
     services: Vec<Service>,
@@ -26,13 +26,15 @@
     revision: Revision,
 }
 
-/// Pause before a submission is tried again, in ms.
+/// Pause before a submission is retried, in ms.
 const RETRY_MS: u64 = 100;
 
 impl Workload {
-    /// Waits until every node is ready, submits every service and waits until all of it is in force.
-    pub async fn seed(fleet: &Fleet, services: usize) -> Result<Workload, FleetError> {
-        fleet.until("readiness", WAIT_MS, |it| it.ready).await?;
+    /// Waits until every node is ready, submits all services and waits until they are in force.
+    pub async fn start(fleet: &Fleet, services: usize) -> Result<Workload, FleetError> {
+        fleet
+            .wait_until("readiness", WAIT_MS, |it| it.ready)
+            .await?;
         let services = (0..services).map(|idx| Service {
             name: name(idx),
             revision: Revision(0),
@@ -49,19 +51,19 @@
             last = work.submit_all(fleet, &part).await?.max(last);
         }
         fleet
-            .until("the first documents in every view", WAIT_MS, |it| {
+            .wait_until("the first documents in every view", WAIT_MS, |it| {
                 it.seq >= last
             })
             .await?;
         Ok(work)
     }
 
-    /// Services.
+    /// Returns the number of services.
     pub fn len(&self) -> usize {
         self.services.len()
     }
 
-    /// Changes one service through the node at `entry`; tries again until the change is accepted.
+    /// Changes one service through the node at `entry`; retries until the change is accepted.
     pub async fn submit(
         &mut self,
         fleet: &Fleet,
@@ -69,25 +71,26 @@
         service: usize,
     ) -> Result<Accepted, FleetError> {
         let change = self.change(service);
-        let accepted = persist(fleet, entry, change).await?;
+        let accepted = submit_with_retries(fleet, entry, change).await?;
         self.services[service].revision = accepted.revision;
         Ok(accepted)
     }
 
-    /// Changes these services at once, each once, through all nodes in turn; returns the highest position.
+    /// Changes these services concurrently, through all running nodes round robin; returns the highest
+    /// position.
     pub async fn submit_all(
         &mut self,
         fleet: &Fleet,
         services: &[usize],
     ) -> Result<Seq, FleetError> {
         let changes: Vec<_> = services.iter().map(|it| (*it, self.change(*it))).collect();
-        let up: Vec<usize> = fleet.controls().map(|(idx, _)| idx).collect();
+        let running: Vec<usize> = fleet.controls().map(|(idx, _)| idx).collect();
         let calls = changes
             .into_iter()
             .enumerate()
             .map(|(idx, (service, change))| {
-                let entry = up[idx % up.len()];
-                async move { (service, persist(fleet, entry, change).await) }
+                let entry = running[idx % running.len()];
+                async move { (service, submit_with_retries(fleet, entry, change).await) }
             });
         let mut last = Seq::default();
         for (service, accepted) in join_all(calls).await {
@@ -101,7 +104,7 @@
     fn change(&mut self, service: usize) -> Change {
         self.round += 1;
         let it = &self.services[service];
-        // Every round gives another limit, so that no change is empty.
+        // A different queue limit in every round, so that no change is empty.
         let queue = 1 + self.round % 60_000;
         let text = match service % 2 {
             0 => REGISTRY
@@ -121,15 +124,19 @@
     }
 }
 
-/// Submits under one id until the change is accepted; a conflict or refusal ends it.
-async fn persist(fleet: &Fleet, entry: usize, change: Change) -> Result<Accepted, FleetError> {
+/// Submits under one id until the change is accepted; a conflict or refusal is an error.
+async fn submit_with_retries(
+    fleet: &Fleet,
+    entry: usize,
+    change: Change,
+) -> Result<Accepted, FleetError> {
     let start = Instant::now();
     loop {
         let verdict = fleet.submit(entry, change.clone()).await?;
-        let late = start.elapsed() > Duration::from_millis(WAIT_MS);
+        let is_late = start.elapsed() > Duration::from_millis(WAIT_MS);
         match verdict {
             Verdict::Accepted { seq, revision } => return Ok(Accepted { seq, revision }),
-            Verdict::Unavailable { .. } | Verdict::Unknown { .. } if !late => {}
+            Verdict::Unavailable { .. } | Verdict::Unknown { .. } if !is_late => {}
             verdict => {
                 let service = change.service;
                 return Err(FleetError::Verdict { service, verdict });
@@ -139,20 +146,20 @@
     }
 }
 
-/// Waits for all of them at once.
+/// Polls all futures concurrently and returns their outputs in order.
 async fn join_all<F: Future>(calls: impl Iterator<Item = F>) -> Vec<F::Output> {
     let mut calls: Vec<_> = calls.map(|it| (Box::pin(it), None)).collect();
     std::future::poll_fn(|cx| {
-        let mut open = false;
+        let mut is_pending = false;
         for (call, output) in &mut calls {
             if output.is_none() {
                 match call.as_mut().poll(cx) {
                     std::task::Poll::Ready(it) => *output = Some(it),
-                    std::task::Poll::Pending => open = true,
+                    std::task::Poll::Pending => is_pending = true,
                 }
             }
         }
-        match open {
+        match is_pending {
             true => std::task::Poll::Pending,
             false => std::task::Poll::Ready(()),
         }
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Real nodes on loopback, in this one process, around one platform with faults.
+//! A fleet of real nodes on loopback in one process, around one platform with fault injection.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket},
@@ -29,80 +29,80 @@
 
 use crate::metered::Metered;
 
-/// How a fleet is laid out.
+/// Size and settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// Nodes. Default: 3.
+    /// Number of nodes. Default: 3.
     pub nodes: usize,
-    /// Availability zones; nodes are dealt out to them in turn. Default: 2.
+    /// Number of availability zones; nodes are assigned round robin. Default: 2.
     pub zones: usize,
-    /// Regions; zones are dealt out to them in turn. Default: 1.
+    /// Number of regions; zones are assigned round robin. Default: 1.
     pub regions: usize,
-    /// How configuration spreads. Default: [`SpreadSettings::default`].
+    /// Settings of configuration distribution. Default: [`SpreadSettings::default`].
     pub spread: SpreadSettings,
-    /// Faults of the platform from the start. Default: none.
+    /// Platform faults from the start. Default: none.
     pub faults: Faults,
-    /// Longest wait for requests in progress when a node closes, in ms. Default: 5 s.
+    /// Maximum wait for in-flight requests when a node closes, in ms. Default: 5 s.
     pub grace: u64,
 }
 
-/// A fleet does not do what it was asked for.
+/// Why an operation on a fleet failed.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A node cannot start.
+    /// A node could not start.
     #[error("node {node} cannot start: {source}")]
     Start { node: usize, source: StartError },
-    /// An upstream cannot start.
+    /// An upstream could not start.
     #[error("the upstream beside node {node} cannot start: {source}; free some ports")]
     Upstream { node: usize, source: std::io::Error },
-    /// No port can be had.
+    /// No port is free.
     #[error("no free port between {PORT_MIN} and {PORT_MAX} on 127.0.0.1; end what listens there")]
     NoPort,
-    /// Something did not come about in time.
+    /// A condition did not hold within its time limit.
     #[error(
-        "{what} did not come about within {limit} ms; raise the machine's share or use fewer nodes"
+        "timed out after {limit} ms waiting for {what}; give the run more CPU or use fewer nodes"
     )]
-    Late { what: &'static str, limit: u64 },
-    /// The node is gone.
+    Timeout { what: &'static str, limit: u64 },
+    /// The node is down.
     #[error("node {node}: {source}")]
     Closed { node: usize, source: Closed },
     /// A submission was not accepted.
     #[error("submission for {service} was not accepted: {verdict:?}; see the verdict")]
     Verdict { service: Name, verdict: Verdict },
-    /// The node answered something else than a verdict.
+    /// The node's reply was not a verdict.
     #[error("node {node} gave no verdict; it is of another version")]
     Reply { node: usize },
 }
 
-/// A running fleet. Must be made inside a tokio runtime with several threads.
+/// A running fleet; needs a multi-threaded tokio runtime.
 pub struct Fleet {
-    members: Vec<Member>,
+    places: Vec<Place>,
     platform: Faulty,
     clock: Clock,
 }
 
-/// A place of the fleet, with its node unless that is down.
-struct Member {
+/// A place of the fleet: a fixed configuration, and its node unless that is down.
+struct Place {
     config: Config,
     platform: Metered,
     node: Option<Node>,
 }
 
-/// Ports below those that Linux hands out to connections, so that none takes a node's while it restarts.
+/// Port range below Linux's ephemeral ports, so that no connection takes the port of a restarting node.
 const PORT_MIN: u16 = 12_000;
 const PORT_MAX: u16 = 32_000;
 
-/// Tries to start a node: another process may take a port between its choice and its use.
+/// Maximum attempts to start a node; another process may take a port after it was found free.
 const START_TRIES: usize = 5;
 
-/// Pause before another try to start a node at its old addresses, in ms.
+/// Pause before another attempt to start a node at its old addresses, in ms.
 const RESTART_MS: u64 = 50;
 
-/// Nodes that every other node contacts first.
+/// Number of nodes given to every other node as its first peers.
 const CONTACTS: usize = 3;
 
-/// Interval between two looks at the views, in ms.
-const LOOK_MS: u64 = 1;
+/// Interval of polling the views, in ms.
+const POLL_MS: u64 = 1;
 
 impl Default for Layout {
     fn default() -> Layout {
@@ -118,61 +118,61 @@
 }
 
 impl Fleet {
-    /// Starts every node; they may not have found each other yet.
+    /// Starts every node; does not wait until they have joined each other.
     pub async fn start(layout: &Layout) -> Result<Fleet, FleetError> {
         let clock = Clock::system();
         let platform = Faulty::new(Arc::new(Memory::default()), clock.clone(), 1);
         platform.set(layout.faults);
         let mut fleet = Fleet {
-            members: Vec::new(),
+            places: Vec::new(),
             platform,
             clock,
         };
         for idx in 0..layout.nodes {
-            let member = fleet.member(layout, idx).await?;
-            fleet.members.push(member);
+            let place = fleet.start_place(layout, idx).await?;
+            fleet.places.push(place);
         }
         Ok(fleet)
     }
 
-    /// Places, those whose node is down included.
+    /// Returns the number of places, including those whose node is down.
     pub fn len(&self) -> usize {
-        self.members.len()
+        self.places.len()
     }
 
-    /// Whether the fleet has no place.
+    /// Returns whether the fleet has no places.
     pub fn is_empty(&self) -> bool {
-        self.members.is_empty()
+        self.places.is_empty()
     }
 
-    /// The platform that every node uses.
+    /// Returns the platform that every node uses.
     pub fn platform(&self) -> &Faulty {
         &self.platform
     }
 
-    /// Settings of the node at `idx`, with its addresses.
+    /// Returns the settings of the node at `idx`, with its addresses.
     pub fn config(&self, idx: usize) -> &Config {
-        &self.members[idx].config
+        &self.places[idx].config
     }
 
-    /// The node at `idx`, unless it is down.
+    /// Returns the node at `idx`, unless it is down.
     pub fn node(&self, idx: usize) -> Option<&Node> {
-        self.members[idx].node.as_ref()
+        self.places[idx].node.as_ref()
     }
 
-    /// The platform as the node at `idx` and its predecessors used it.
+    /// Returns the platform counters of the place `idx`, over all restarts of its node.
     pub fn metered(&self, idx: usize) -> &Metered {
-        &self.members[idx].platform
+        &self.places[idx].platform
     }
 
-    /// Places whose node runs, with the handle of its control thread.
+    /// Returns the places whose node runs, with the handle of its control thread.
     pub fn controls(&self) -> impl Iterator<Item = (usize, &Control)> {
-        let members = self.members.iter().enumerate();
-        members.filter_map(|(idx, it)| Some((idx, it.node.as_ref()?.control())))
+        let places = self.places.iter().enumerate();
+        places.filter_map(|(idx, it)| Some((idx, it.node.as_ref()?.control())))
     }
 
-    /// Starts an upstream beside the node at `idx`; it announces itself there.
-    pub async fn upstream(
+    /// Starts an upstream that registers with the node at `idx`.
+    pub async fn start_upstream(
         &self,
         idx: usize,
         settings: UpstreamSettings,
@@ -185,7 +185,7 @@
         upstream.map_err(|source| FleetError::Upstream { node: idx, source })
     }
 
-    /// Submits through the node at `idx` and waits for the verdict.
+    /// Submits a change through the node at `idx` and returns the verdict.
     pub async fn submit(&self, idx: usize, change: Change) -> Result<Verdict, FleetError> {
         let node = idx;
         let Some(it) = self.node(idx) else {
@@ -200,8 +200,12 @@
         }
     }
 
-    /// Submits, and takes everything but acceptance for an error.
-    pub async fn accept(&self, idx: usize, change: Change) -> Result<Accepted, FleetError> {
+    /// Submits a change and returns an error unless it is accepted.
+    pub async fn submit_accepted(
+        &self,
+        idx: usize,
+        change: Change,
+    ) -> Result<Accepted, FleetError> {
         let service = change.service.clone();
         match self.submit(idx, change).await? {
             Verdict::Accepted { seq, revision } => Ok(Accepted { seq, revision }),
@@ -209,8 +213,10 @@
         }
     }
 
-    /// Waits until `holds` is true of every running node's view; returns the time that took.
-    pub async fn until(
+    /// Waits until `holds` is true of every running node's view; returns the time waited.
+    ///
+    /// `what` names the condition in the error after `limit` ms.
+    pub async fn wait_until(
         &self,
         what: &'static str,
         limit: u64,
@@ -222,41 +228,41 @@
                 return Ok(start.elapsed());
             }
             if start.elapsed() > Duration::from_millis(limit) {
-                return Err(FleetError::Late { what, limit });
+                return Err(FleetError::Timeout { what, limit });
             }
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(POLL_MS)).await;
         }
     }
 
-    /// Ends the node at `idx` as a process that is killed: it tells nobody.
+    /// Stops the node at `idx` without notice to its peers, like a killed process.
     pub async fn kill(&mut self, idx: usize) {
-        if let Some(node) = self.members[idx].node.take() {
+        if let Some(node) = self.places[idx].node.take() {
             node.kill().await;
         }
     }
 
-    /// Drains the node at `idx` and ends it.
+    /// Drains and stops the node at `idx`.
     pub async fn drain(&mut self, idx: usize) {
-        if let Some(node) = self.members[idx].node.take() {
+        if let Some(node) = self.places[idx].node.take() {
             node.close().await;
         }
     }
 
-    /// Starts the node at `idx` again at its old addresses, unless it runs.
+    /// Restarts the node at `idx` at its old addresses, unless it runs.
     pub async fn restart(&mut self, idx: usize) -> Result<(), FleetError> {
-        if self.members[idx].node.is_some() {
+        if self.places[idx].node.is_some() {
             return Ok(());
         }
         let mut tries = 0;
         loop {
-            let member = &self.members[idx];
+            let place = &self.places[idx];
             tries += 1;
-            match self.launch(&member.config, &member.platform).await {
+            match self.start_node(&place.config, &place.platform).await {
                 Ok(node) => {
-                    self.members[idx].node = Some(node);
+                    self.places[idx].node = Some(node);
                     return Ok(());
                 }
-                // The sockets of the process before may take a moment to go.
+                // The sockets of the previous process may not be closed yet.
                 Err(_) if tries < START_TRIES => {
                     tokio::time::sleep(Duration::from_millis(RESTART_MS)).await;
                 }
@@ -265,28 +271,28 @@
         }
     }
 
-    /// Shows these faults of the platform from now on, keeping its rates.
-    pub fn outage(&self, outage: Outage) {
+    /// Sets the outage of the platform; its other faults and rate limits stay.
+    pub fn set_outage(&self, outage: Outage) {
         let faults = self.platform.faults();
         self.platform.set(Faults { outage, ..faults });
     }
 
-    /// Ends every node at once. A fleet under measurement has no caller left that a drain would serve.
+    /// Stops every node without a drain, since no callers are left to serve.
     pub async fn close(mut self) {
         for idx in 0..self.len() {
             self.kill(idx).await;
         }
     }
 
-    async fn member(&self, layout: &Layout, idx: usize) -> Result<Member, FleetError> {
+    async fn start_place(&self, layout: &Layout, idx: usize) -> Result<Place, FleetError> {
         let mut tries = 0;
         loop {
-            let config = self.place(layout, idx)?;
+            let config = self.config_of_place(layout, idx)?;
             tries += 1;
             let platform = Metered::new(self.platform.clone());
-            match self.launch(&config, &platform).await {
+            match self.start_node(&config, &platform).await {
                 Ok(node) => {
-                    return Ok(Member {
+                    return Ok(Place {
                         config,
                         platform,
                         node: Some(node),
@@ -298,15 +304,15 @@
         }
     }
 
-    fn place(&self, layout: &Layout, idx: usize) -> Result<Config, FleetError> {
+    fn config_of_place(&self, layout: &Layout, idx: usize) -> Result<Config, FleetError> {
         let zone = idx % layout.zones.max(1);
         let region = zone % layout.regions.max(1);
-        let contacts = self.members.iter().take(CONTACTS);
+        let contacts = self.places.iter().take(CONTACTS);
         Ok(Config {
-            caller: free()?,
-            control: free()?,
-            traffic: free()?,
-            admin: free()?,
+            caller: free_address()?,
+            control: free_address()?,
+            traffic: free_address()?,
+            admin: free_address()?,
             region: format!("region-{region}"),
             zone: format!("region-{region}-zone-{zone}"),
             peers: contacts.map(|it| it.config.control).collect(),
@@ -316,7 +322,7 @@
         })
     }
 
-    async fn launch(&self, config: &Config, platform: &Metered) -> Result<Node, StartError> {
+    async fn start_node(&self, config: &Config, platform: &Metered) -> Result<Node, StartError> {
         let platform = Arc::new(platform.clone());
         Node::start(config.clone(), self.clock.clone(), platform).await
     }
@@ -325,22 +331,22 @@
 /// A change to submit.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// Its id.
+    /// Id of the submission.
     pub id: SubmitId,
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// The revision that it is based on.
+    /// Revision that the change is based on.
     pub base: Revision,
-    /// The new document.
+    /// New document.
     pub text: String,
 }
 
-/// What became of an accepted change.
+/// An accepted change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Accepted {
-    /// Its position in the log.
+    /// Position in the log.
     pub seq: Seq,
-    /// The service's revision since.
+    /// New revision of the service.
     pub revision: Revision,
 }
 
@@ -357,11 +363,11 @@
     }
 }
 
-/// A port of loopback that is free for TCP and UDP at present; each is handed out once a round.
-fn free() -> Result<SocketAddr, FleetError> {
+/// Returns a loopback address whose port is free for TCP and UDP; iterates through the port range.
+fn free_address() -> Result<SocketAddr, FleetError> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let span = PORT_MAX - PORT_MIN;
-    // Benches that run at the same time start at different ports.
+    // Concurrent bench processes start at different ports.
     let offset = std::process::id().wrapping_mul(997) % u32::from(span);
     for _ in 0..span {
         let next = u32::from(NEXT.fetch_add(1, Ordering::Relaxed)) + offset;
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,8 +1,9 @@
-//! Load and experiments over real nodes on loopback.
+//! Benchmarks and experiments with real nodes on loopback.
 //!
-//! [`fleet`] starts nodes with their threads and sockets in this one process, around one platform with faults.
-//! [`smoke`] shows in seconds that the whole path works; [`converge`] measures how long a change takes to be in
-//! force in every view, and what it costs; [`load`] offers overload and faults beside a baseline. [`report`] prints tables and one JSON object.
+//! [`fleet`] starts nodes with their threads and sockets in one process, around one platform with fault
+//! injection. [`smoke`] checks the whole path in seconds, [`converge`] measures the convergence time and cost
+//! of changes, and [`load`] compares nodes with a baseline under overload and faults. [`report`] prints
+//! tables or one JSON object.
 
 pub mod cli;
 pub mod converge;
--- a/crates/bench/src/load/breaker.rs
+++ b/crates/bench/src/load/breaker.rs
@@ -1,4 +1,4 @@
-//! Breaks a running site, on time.
+//! Scheduled fault injection during a case.
 
 use std::time::Duration;
 
@@ -7,75 +7,77 @@
 
 use super::{case::Case, preset::Preset, site::Group};
 
-/// What can be broken. The baseline uses no platform.
+/// Targets of fault injection; the baseline has no platform.
 #[derive(Clone, Copy)]
 pub struct Targets<'a> {
     /// Upstreams by service.
     pub groups: &'a [Group],
-    /// The table and object store.
+    /// Table and object store.
     pub platform: Option<&'a Faulty>,
 }
 
-/// Time between two looks at what is to be broken.
+/// Interval of the fault schedule.
 const STEP: Duration = Duration::from_millis(500);
-/// How many times longer a slow upstream takes.
-const SLOW_TIMES: u64 = 4;
-/// One upstream in this many is slow.
+/// Factor by which a slow upstream takes longer.
+const SLOW_FACTOR: u64 = 4;
+/// One in this many upstreams is slow.
 const SLOW_EVERY: usize = 3;
-/// Steps between two crashes of the same upstream.
+/// Number of steps between two crashes.
 const CRASH_STEPS: u32 = 4;
-/// Share of the table's writes whose answer is lost.
+/// Share of table writes whose answer is lost.
 const LOST_SHARE: f64 = 0.05;
-/// Delay of the platform's answers in ms.
+/// Delay of the platform's answers, in ms.
 const PLATFORM_MS: u64 = 5;
 
-/// Breaks what `case` says over `millis`, by steps of half a second; returns when the time is over.
+/// Injects the faults of `case` over `millis`, in steps of half a second; returns when the time is over.
 pub async fn run(case: Case, preset: Preset, targets: Targets<'_>, millis: u64) {
     let start = Instant::now();
     let steps = (millis / STEP.as_millis() as u64) as u32;
     for step in 0..steps {
         sleep_until(start + STEP * step).await;
         match case {
-            Case::Faults => every(step, preset, targets),
-            _ => one(case, step, steps, preset, targets),
+            Case::Faults => inject_all(step, preset, targets),
+            _ => inject_for_case(case, step, steps, preset, targets),
         }
     }
     sleep_until(start + Duration::from_millis(millis)).await;
 }
 
-fn one(case: Case, step: u32, steps: u32, preset: Preset, targets: Targets<'_>) {
+/// Injects the faults that `case` has at `step`.
+fn inject_for_case(case: Case, step: u32, steps: u32, preset: Preset, targets: Targets<'_>) {
     match case {
-        Case::Slow if step == 0 => slow(preset, targets),
+        Case::Slow if step == 0 => slow_down(preset, targets),
         Case::Crash if step.is_multiple_of(CRASH_STEPS) => crash(targets, 0),
         Case::Silent if step.is_multiple_of(2) => silence(targets, 0),
-        Case::Drain if step == steps / 3 => leave(targets),
-        Case::Table if step == steps / 3 => outage(targets, Outage::Refuse),
-        Case::Table if step == steps * 2 / 3 => outage(targets, Outage::None),
-        Case::Filings if step == 0 => lose(targets),
+        Case::Drain if step == steps / 3 => drain_first(targets),
+        Case::Table if step == steps / 3 => set_outage(targets, Outage::Refuse),
+        Case::Table if step == steps * 2 / 3 => set_outage(targets, Outage::None),
+        Case::Filings if step == 0 => lose_answers(targets),
         Case::Filings if step.is_multiple_of(CRASH_STEPS) => crash(targets, step as usize),
         _ => {}
     }
 }
 
-/// Faults in turn, over and over; nobody leaves, as it would not come back.
-fn every(step: u32, preset: Preset, targets: Targets<'_>) {
+/// Injects all faults in rotation, except for leaving upstreams, which would not return.
+fn inject_all(step: u32, preset: Preset, targets: Targets<'_>) {
     let round = (step / 12) as usize;
     match step % 12 {
-        0 => lose(targets),
+        0 => lose_answers(targets),
         1 => silence(targets, round),
         3 => crash(targets, round + 1),
-        5 => slow(preset, targets),
-        7 => healthy(targets),
-        8 => outage(targets, Outage::Refuse),
-        10 => outage(targets, Outage::None),
+        5 => slow_down(preset, targets),
+        7 => reset_behaviour(targets),
+        8 => set_outage(targets, Outage::Refuse),
+        10 => set_outage(targets, Outage::None),
         11 => silence(targets, round + 2),
         _ => {}
     }
 }
 
-fn slow(preset: Preset, targets: Targets<'_>) {
+/// Slows every third upstream of each service.
+fn slow_down(preset: Preset, targets: Targets<'_>) {
     let behaviour = Behaviour {
-        slow: preset.mean() * (SLOW_TIMES - 1),
+        slow: preset.mean_service_ms() * (SLOW_FACTOR - 1),
         ..Behaviour::default()
     };
     let slow = |group: &Group| {
@@ -85,7 +87,7 @@
     targets.groups.iter().for_each(slow);
 }
 
-fn healthy(targets: Targets<'_>) {
+fn reset_behaviour(targets: Targets<'_>) {
     let all = targets.groups.iter().flatten();
     all.for_each(|it| it.set(Behaviour::default()));
 }
@@ -100,20 +102,20 @@
     picked.for_each(laburnum_standin::Upstream::silence);
 }
 
-fn leave(targets: Targets<'_>) {
+fn drain_first(targets: Targets<'_>) {
     let picked = targets.groups.iter().filter_map(|it| it.first());
     picked.for_each(laburnum_standin::Upstream::leave);
 }
 
-fn lose(targets: Targets<'_>) {
-    set(targets, Outage::None, LOST_SHARE);
+fn lose_answers(targets: Targets<'_>) {
+    set_platform_faults(targets, Outage::None, LOST_SHARE);
 }
 
-fn outage(targets: Targets<'_>, outage: Outage) {
-    set(targets, outage, 0.0);
+fn set_outage(targets: Targets<'_>, outage: Outage) {
+    set_platform_faults(targets, outage, 0.0);
 }
 
-fn set(targets: Targets<'_>, outage: Outage, lost: f64) {
+fn set_platform_faults(targets: Targets<'_>, outage: Outage, lost: f64) {
     if let Some(platform) = targets.platform {
         platform.set(Faults {
             outage,
--- a/crates/bench/src/load/case.rs
+++ b/crates/bench/src/load/case.rs
@@ -1,4 +1,4 @@
-//! What is offered and what breaks, case by case.
+//! The cases: offered load and service time of each.
 
 use std::{fmt, str::FromStr};
 
@@ -7,10 +7,10 @@
     preset::{Preset, Service},
 };
 
-/// One experiment, offered in turn to the nodes and to the baseline.
+/// One experiment, run with the nodes and with the baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
-    /// Instant upstreams at a moderate rate: what the path itself adds.
+    /// Instant upstreams at a moderate rate: the latency that the nodes add.
     Added,
     /// Only interactive requests at 0.4 of capacity.
     Unloaded,
@@ -22,60 +22,61 @@
     Double,
     /// The mix at four times the capacity.
     Quadruple,
-    /// Unloaded, with background requests at twice the capacity besides.
+    /// Like [`Case::Unloaded`], with background requests at twice the capacity.
     Flood,
     /// The mix at half of capacity; every third upstream takes four times as long.
     Slow,
-    /// The mix at half of capacity; upstreams crash, by themselves and by a request.
+    /// The mix at half of capacity; upstreams crash on schedule and by poison requests.
     Crash,
-    /// The mix at half of capacity; an upstream stops answering on its open connections, again and again.
+    /// The mix at half of capacity; an upstream repeatedly stops answering on its open connections.
     Silent,
-    /// The mix at half of capacity; an upstream of each service leaves.
+    /// The mix at half of capacity; one upstream of each service drains and leaves.
     Drain,
-    /// The mix at half of capacity; the table refuses every call for a third of the time.
+    /// The mix at half of capacity; the table rejects every call for a third of the time.
     Table,
-    /// Half filings, one in ten sent twice, at half of capacity; upstreams crash and the table loses answers.
+    /// Reads and filings at half of capacity, one filing in ten sent twice; upstreams crash and the table
+    /// loses answers.
     Filings,
     /// The mix at half of capacity with every fault in turn.
     Faults,
 }
 
-/// A text is no case.
+/// The error of a text that names no case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "not one of all, added, unloaded, half, full, double, quadruple, flood, slow, crash, silent, drain, table, filings, faults"
 )]
 pub struct BadCase;
 
-/// Cases to run.
+/// A list of cases, or `all`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cases(pub Vec<Case>);
 
-/// Shares of the capacity that each class is offered.
+/// Offered load of each class, as a share of the capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mix {
     /// Reads.
     pub interactive: f64,
-    /// Filings, without their repetitions.
+    /// Filings, excluding repetitions.
     pub exact: f64,
     /// Archive lookups.
     pub background: f64,
 }
 
-/// How the upstreams serve.
+/// Service time of the upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
-    /// For the preset's service time, on its slots.
-    Usual,
-    /// At once.
+pub enum ServiceTime {
+    /// The preset's service time and slots.
+    Preset,
+    /// No service time.
     Instant,
 }
 
-/// Reads that crash their upstream, a second.
+/// Rate of requests that crash their upstream, per second.
 const POISON_RATE: f64 = 1.0;
 
 impl Case {
-    /// Every case, in the order in which they run.
+    /// All cases, in the order in which they run.
     pub const ALL: [Case; 14] = [
         Case::Added,
         Case::Unloaded,
@@ -93,20 +94,20 @@
         Case::Faults,
     ];
 
-    /// What is offered.
+    /// Returns the offered load.
     pub fn mix(self) -> Mix {
         match self {
-            Case::Added | Case::Unloaded => only(0.4),
-            Case::Full => mix(1.0),
-            Case::Double => mix(2.0),
-            Case::Quadruple => mix(4.0),
+            Case::Added | Case::Unloaded => interactive_only(0.4),
+            Case::Full => mixed(1.0),
+            Case::Double => mixed(2.0),
+            Case::Quadruple => mixed(4.0),
             Case::Flood => Mix {
                 background: 2.0,
-                ..only(0.4)
+                ..interactive_only(0.4)
             },
             Case::Filings => Mix {
                 exact: 0.25,
-                ..only(0.25)
+                ..interactive_only(0.25)
             },
             Case::Half
             | Case::Slow
@@ -114,27 +115,27 @@
             | Case::Silent
             | Case::Drain
             | Case::Table
-            | Case::Faults => mix(0.5),
+            | Case::Faults => mixed(0.5),
         }
     }
 
-    /// How the upstreams serve.
-    pub fn work(self) -> Work {
+    /// Returns the service time of the upstreams.
+    pub fn service_time(self) -> ServiceTime {
         match self {
-            Case::Added => Work::Instant,
-            _ => Work::Usual,
+            Case::Added => ServiceTime::Instant,
+            _ => ServiceTime::Preset,
         }
     }
 
-    /// What arrives.
+    /// Returns the flows of requests.
     pub fn flows(self, preset: Preset) -> Vec<Flow> {
         let services = preset.services();
         let mut flows: Vec<Flow> = services
             .iter()
             .enumerate()
-            .flat_map(|(idx, it)| self.flows_of(preset, idx, it))
+            .flat_map(|(idx, it)| self.service_flows(preset, idx, it))
             .collect();
-        if self.poisoned() {
+        if self.has_poison() {
             flows.push(Flow {
                 service: 0,
                 kind: Kind::Poison,
@@ -144,7 +145,7 @@
         flows
     }
 
-    fn flows_of(self, preset: Preset, service: usize, it: &Service) -> [Flow; 3] {
+    fn service_flows(self, preset: Preset, service: usize, it: &Service) -> [Flow; 3] {
         let capacity = preset.capacity(it);
         let mix = self.mix();
         [
@@ -159,12 +160,12 @@
         })
     }
 
-    fn poisoned(self) -> bool {
+    fn has_poison(self) -> bool {
         matches!(self, Case::Crash | Case::Filings | Case::Faults)
     }
 }
 
-fn only(interactive: f64) -> Mix {
+fn interactive_only(interactive: f64) -> Mix {
     Mix {
         interactive,
         exact: 0.0,
@@ -172,7 +173,7 @@
     }
 }
 
-fn mix(load: f64) -> Mix {
+fn mixed(load: f64) -> Mix {
     Mix {
         interactive: 0.7 * load,
         exact: 0.1 * load,
--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -1,4 +1,4 @@
-//! The callers: through the nodes, or straight to the upstreams with blind retries.
+//! HTTP callers: through the nodes, or directly to the upstreams with blind retries.
 
 use std::{
     net::SocketAddr,
@@ -26,34 +26,34 @@
     preset::{ARCHIVE, Preset},
 };
 
-/// Attempts of the baseline: one and three blind retries.
+/// Maximum attempts of the baseline: the first and three blind retries.
 pub const BLIND_ATTEMPTS: u32 = 4;
 
 /// Where callers send requests.
 #[derive(Clone, Debug)]
-pub enum Way {
-    /// To these entry nodes in turn.
+pub enum Destination {
+    /// These entry nodes, round robin.
     Nodes(Vec<SocketAddr>),
-    /// To the upstreams of each service in turn, again after a quarter of the deadline or a failure. An
-    /// attempt given up is not cancelled, as a server does not notice that its caller left while it works.
+    /// The upstreams of each service, round robin, with a retry after a failure or a quarter of the deadline.
+    /// Attempts that time out are not cancelled, since a busy server does not notice that its caller left.
     Direct(Vec<Vec<SocketAddr>>),
 }
 
-/// All callers of one run; cheap to clone.
+/// The callers of one run; cheap to clone.
 #[derive(Clone)]
 pub struct Callers(Arc<Shared>);
 
 struct Shared {
     preset: Preset,
-    way: Way,
+    destination: Destination,
     client: Client<HttpConnector, Full<Bytes>>,
-    turn: AtomicUsize,
+    next_address: AtomicUsize,
     retries: AtomicU64,
 }
 
-/// A request as it goes out, once or several times.
+/// A request to send, possibly several times.
 #[derive(Clone, Debug)]
-struct Ask {
+struct OutgoingRequest {
     method: Method,
     service: &'static str,
     path: String,
@@ -64,95 +64,104 @@
 }
 
 impl Callers {
-    /// Callers that go `way`.
-    pub fn new(preset: Preset, way: Way) -> Callers {
+    /// Returns callers of `destination`.
+    pub fn new(preset: Preset, destination: Destination) -> Callers {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         Callers(Arc::new(Shared {
             preset,
-            way,
+            destination,
             client: Client::builder(TokioExecutor::new()).build(connector),
-            turn: AtomicUsize::new(0),
+            next_address: AtomicUsize::new(0),
             retries: AtomicU64::new(0),
         }))
     }
 
-    /// Attempts beyond each request's first that the callers made themselves.
+    /// Returns the number of retries made by the callers.
     pub fn retries(&self) -> u64 {
         self.0.retries.load(Ordering::Relaxed)
     }
 
-    /// Sends one request and waits for its end.
-    pub async fn ask(&self, arrival: Arrival) -> Answer {
-        let ask = Ask::new(self.0.preset, arrival);
+    /// Sends one request and returns its answer.
+    pub async fn call(&self, arrival: Arrival) -> Answer {
+        let request = OutgoingRequest::new(self.0.preset, arrival);
         let deadline = Duration::from_millis(self.0.preset.deadline(class(arrival.kind)));
-        match &self.0.way {
-            Way::Nodes(entries) => {
-                let address = entries[self.0.turn.fetch_add(1, Ordering::Relaxed) % entries.len()];
-                // The nodes answer by the deadline; a caller that waits twice as long sees that they do.
-                let answer = timeout(deadline * 2, self.send(&ask, address)).await;
-                answer.unwrap_or_else(|_| ask.missing())
+        match &self.0.destination {
+            Destination::Nodes(entries) => {
+                let address =
+                    entries[self.0.next_address.fetch_add(1, Ordering::Relaxed) % entries.len()];
+                // Wait longer than the deadline to see whether the nodes answer by it.
+                let answer = timeout(deadline * 2, self.send(&request, address)).await;
+                answer.unwrap_or_else(|_| request.missing_answer())
+            }
+            Destination::Direct(groups) => {
+                self.call_with_retries(&request, &groups[arrival.service], deadline)
+                    .await
             }
-            Way::Direct(groups) => self.blindly(&ask, &groups[arrival.service], deadline).await,
         }
     }
 
-    async fn blindly(&self, ask: &Ask, group: &[SocketAddr], deadline: Duration) -> Answer {
-        let mut last = ask.missing();
+    async fn call_with_retries(
+        &self,
+        request: &OutgoingRequest,
+        group: &[SocketAddr],
+        deadline: Duration,
+    ) -> Answer {
+        let mut last = request.missing_answer();
         for attempt in 0..BLIND_ATTEMPTS {
             if attempt > 0 {
                 self.0.retries.fetch_add(1, Ordering::Relaxed);
             }
-            let address = group[self.0.turn.fetch_add(1, Ordering::Relaxed) % group.len()];
+            let address = group[self.0.next_address.fetch_add(1, Ordering::Relaxed) % group.len()];
             let (sender, receiver) = oneshot::channel();
-            let (callers, sent) = (self.clone(), ask.clone());
+            let (callers, sent) = (self.clone(), request.clone());
             tokio::spawn(async move {
-                // Nobody waits any more after a timeout.
+                // The receiver is gone after a timeout.
                 let _ = sender.send(callers.send(&sent, address).await);
             });
             match timeout(deadline / BLIND_ATTEMPTS, receiver).await {
                 Ok(Ok(answer)) if answer.outcome == Outcome::Ran => return answer,
                 Ok(Ok(answer)) => last = answer,
-                _ => last = ask.missing(),
+                _ => last = request.missing_answer(),
             }
         }
         last
     }
 
-    async fn send(&self, ask: &Ask, address: SocketAddr) -> Answer {
-        let Some(request) = ask.request(address) else {
-            return ask.missing();
+    async fn send(&self, request: &OutgoingRequest, address: SocketAddr) -> Answer {
+        let Some(message) = request.to_http(address) else {
+            return request.missing_answer();
         };
-        match self.0.client.request(request).await {
-            Ok(response) => ask.answer(response).await,
-            Err(_) => ask.missing(),
+        match self.0.client.request(message).await {
+            Ok(response) => request.read_answer(response).await,
+            Err(_) => request.missing_answer(),
         }
     }
 }
 
-/// The class that a kind of request belongs to.
+/// Returns the class of a kind of request.
 pub fn class(kind: Kind) -> Class {
     match kind {
         Kind::Interactive | Kind::Poison => Class::Interactive,
-        Kind::Exact | Kind::Again => Class::Exact,
+        Kind::Exact | Kind::Repeat => Class::Exact,
         Kind::Background => Class::Background,
     }
 }
 
-/// The end of a request that got no answer.
-pub fn missing(preset: Preset, arrival: Arrival) -> Answer {
-    Ask::new(preset, arrival).missing()
+/// Returns the answer record of a request that got no answer.
+pub fn missing_answer(preset: Preset, arrival: Arrival) -> Answer {
+    OutgoingRequest::new(preset, arrival).missing_answer()
 }
 
-impl Ask {
-    fn new(preset: Preset, arrival: Arrival) -> Ask {
+impl OutgoingRequest {
+    fn new(preset: Preset, arrival: Arrival) -> OutgoingRequest {
         let service = preset.services()[arrival.service];
         let number = arrival.number;
         let (method, base, body, key) = match arrival.kind {
             Kind::Interactive => (Method::GET, service.reads, String::new(), None),
             Kind::Background => (Method::GET, ARCHIVE, String::new(), None),
             Kind::Poison => (Method::GET, service.reads, String::new(), None),
-            Kind::Exact | Kind::Again => {
+            Kind::Exact | Kind::Repeat => {
                 let key = format!("key-{number}");
                 (
                     Method::POST,
@@ -164,10 +173,10 @@
         };
         let (path, id) = match arrival.kind {
             Kind::Poison => (format!("{base}/poison"), format!("poison-{number}")),
-            Kind::Again => (format!("{base}/{number}"), format!("again-{number}")),
+            Kind::Repeat => (format!("{base}/{number}"), format!("again-{number}")),
             _ => (format!("{base}/{number}"), format!("first-{number}")),
         };
-        Ask {
+        OutgoingRequest {
             method,
             service: service.name,
             path,
@@ -178,7 +187,7 @@
         }
     }
 
-    fn request(&self, address: SocketAddr) -> Option<Request<Full<Bytes>>> {
+    fn to_http(&self, address: SocketAddr) -> Option<Request<Full<Bytes>>> {
         let mut builder = Request::builder()
             .method(self.method.clone())
             .uri(format!("http://{address}{}", self.path))
@@ -193,22 +202,22 @@
         builder.body(Full::new(Bytes::from(self.body.clone()))).ok()
     }
 
-    async fn answer(&self, response: Response<Incoming>) -> Answer {
+    async fn read_answer(&self, response: Response<Incoming>) -> Answer {
         let status = response.status();
-        let said = response.headers().get("laburnum-outcome");
-        let outcome = match said.map(|it| it.as_bytes()) {
+        let outcome_header = response.headers().get("laburnum-outcome");
+        let outcome = match outcome_header.map(|it| it.as_bytes()) {
             Some(b"not-run") => Outcome::NotRun,
             Some(b"unknown") => Outcome::Unknown,
-            // Upstreams asked directly do not say.
+            // Upstreams called directly send no outcome header.
             Some(b"ran") | None if status == StatusCode::OK => Outcome::Ran,
             _ => Outcome::Unknown,
         };
         let Ok(body) = response.into_body().collect().await else {
-            return self.missing();
+            return self.missing_answer();
         };
-        let own = format!("{} {} {}\n", self.method, self.path, self.body);
+        let expected_body = format!("{} {} {}\n", self.method, self.path, self.body);
         let echo = match outcome {
-            Outcome::Ran if body.to_bytes() == own.as_bytes() => Echo::Own,
+            Outcome::Ran if body.to_bytes() == expected_body.as_bytes() => Echo::Own,
             Outcome::Ran => Echo::Foreign,
             _ => Echo::None,
         };
@@ -219,7 +228,7 @@
         }
     }
 
-    fn missing(&self) -> Answer {
+    fn missing_answer(&self) -> Answer {
         Answer {
             request: self.id.clone(),
             outcome: Outcome::Missing,
--- a/crates/bench/src/load/command.rs
+++ b/crates/bench/src/load/command.rs
@@ -24,7 +24,7 @@
 const SEED: Setting<u64> =
     Setting::new("--seed", "N", "Fixes arrivals and service times.").default("1");
 
-/// Its flags and exit codes.
+/// Flags and exit codes of the command.
 pub const PROGRAM: Program = Program {
     name: "laburnum-bench load",
     version: env!("CARGO_PKG_VERSION"),
@@ -50,7 +50,7 @@
     ],
 };
 
-/// Runs it. Must be called inside a tokio runtime.
+/// Runs the command inside a tokio runtime and returns its exit code.
 pub async fn run(values: &Values) -> ExitCode {
     let settings = Settings {
         preset: values.get(&PRESET),
--- a/crates/bench/src/load/drive.rs
+++ b/crates/bench/src/load/drive.rs
@@ -1,4 +1,4 @@
-//! Sends a schedule on time and gathers the answers.
+//! The load generator: sends scheduled requests on time and collects the answers.
 
 use std::{
     collections::BTreeMap,
@@ -10,66 +10,66 @@
 
 use super::{
     arrivals::Arrival,
-    client::{Callers, class, missing},
+    client::{Callers, class, missing_answer},
     judge::{Answer, Outcome},
     preset::Preset,
     tally::Sample,
 };
 
-/// One answered request.
+/// A completed request.
 #[derive(Clone, Debug)]
-pub struct Ended {
-    /// Its times.
+pub struct Completed {
+    /// Times and outcome of the request.
     pub sample: Sample,
-    /// What its caller saw.
+    /// Answer as its caller received it.
     pub answer: Answer,
 }
 
-/// Sends every arrival when it is due and waits for the answers until `grace` after the last.
+/// Sends every arrival when it is due and collects answers until `grace` after the last arrival.
 ///
-/// A thread of its own keeps the time, since the runtime's timer is only exact to a millisecond.
+/// A separate thread paces the requests, since the runtime's timer has a resolution of one millisecond.
 pub async fn run(
     preset: Preset,
     callers: &Callers,
     arrivals: Vec<Arrival>,
     grace: Duration,
-) -> Vec<Ended> {
+) -> Vec<Completed> {
     let start = Instant::now();
     let last = arrivals.last().map_or(0, |it| it.due);
     let end = start + Duration::from_micros(last) + grace;
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let (handle, callers) = (Handle::current(), callers.clone());
-    // Whatever is not answered by the end has no answer.
-    let mut waiting: BTreeMap<usize, Arrival> = arrivals.iter().copied().enumerate().collect();
-    let sending = thread::spawn(move || {
+    // Requests still in this map at the end got no answer.
+    let mut unanswered: BTreeMap<usize, Arrival> = arrivals.iter().copied().enumerate().collect();
+    let send_thread = thread::spawn(move || {
         for (idx, arrival) in arrivals.into_iter().enumerate() {
             let due = start + Duration::from_micros(arrival.due);
             thread::sleep(due.saturating_duration_since(Instant::now()));
             let (callers, sender) = (callers.clone(), sender.clone());
             handle.spawn(async move {
-                let answer = callers.ask(arrival).await;
-                // The run is over if nobody gathers.
-                let _ = sender.send((idx, since(start), answer));
+                let answer = callers.call(arrival).await;
+                // The receiver is gone if the run is over.
+                let _ = sender.send((idx, elapsed_micros(start), answer));
             });
         }
     });
-    let mut ended = Vec::new();
+    let mut completed = Vec::new();
     while let Ok(Some((idx, done, answer))) = timeout_at(end.into(), receiver.recv()).await {
-        if let Some(arrival) = waiting.remove(&idx) {
-            ended.push(Ended {
+        if let Some(arrival) = unanswered.remove(&idx) {
+            completed.push(Completed {
                 sample: sample(preset, arrival, done, answer.outcome),
                 answer,
             });
         }
     }
-    // It sent the last arrival long ago, or the channel would be open.
-    let _ = sending.join();
-    let missing = waiting.into_values().map(|arrival| Ended {
-        sample: sample(preset, arrival, since(start), Outcome::Missing),
-        answer: missing(preset, arrival),
+    // The last arrival was due before the end, so the thread does not block here for long.
+    let _ = send_thread.join();
+    let missing = unanswered.into_values().map(|arrival| Completed {
+        sample: sample(preset, arrival, elapsed_micros(start), Outcome::Missing),
+        answer: missing_answer(preset, arrival),
     });
-    ended.extend(missing);
-    ended
+    completed.extend(missing);
+    completed
 }
 
 fn sample(preset: Preset, arrival: Arrival, done: u64, outcome: Outcome) -> Sample {
@@ -83,6 +83,6 @@
     }
 }
 
-fn since(start: Instant) -> u64 {
+fn elapsed_micros(start: Instant) -> u64 {
     start.elapsed().as_micros() as u64
 }
--- a/crates/bench/src/load/judge.rs
+++ b/crates/bench/src/load/judge.rs
@@ -1,61 +1,61 @@
-//! Judges the answers of a run by what the upstreams' own ledgers say they ran.
+//! Checks the answers of a run against the upstreams' ledgers of the requests that they ran.
 
 use std::collections::HashSet;
 
 use laburnum_standin::Ledger;
 use serde::Serialize;
 
-/// What an answer says became of its request.
+/// Outcome of a request as its answer states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was run and this is its answer.
+    /// The request was run; this is its answer.
     Ran,
-    /// It was not run.
+    /// The request was not run.
     NotRun,
-    /// It may have been run.
+    /// The request may have been run.
     Unknown,
-    /// No answer came.
+    /// No answer was received.
     Missing,
 }
 
-/// What the body of an answer holds.
+/// Content of an answer's body; upstreams echo the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Echo {
-    /// The request that it answers.
+    /// Its own request.
     Own,
-    /// Something else.
+    /// Anything else.
     Foreign,
-    /// The answer is a refusal or an error; its body is not judged.
+    /// Not checked, because the answer is a refusal or an error.
     None,
 }
 
-/// The end of one request, as its caller saw it.
+/// The answer to one request, as its caller received it.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The request's `x-request-id`.
     pub request: String,
-    /// What the answer says.
+    /// Outcome that the answer states.
     pub outcome: Outcome,
-    /// What its body holds.
+    /// Content of its body.
     pub echo: Echo,
 }
 
-/// What must be zero.
+/// Numbers of violations; all must be zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
     /// Runs of an idempotency key beyond its first.
     pub duplicates: u64,
-    /// Requests answered as not run that an upstream ran.
+    /// Requests answered as not run although an upstream ran them.
     pub wrong_refusals: u64,
     /// Answers whose body is not that of their own request.
     pub mixed_answers: u64,
-    /// Runs that the ledgers had no room for; more than zero means that the rest proves nothing.
+    /// Runs missing in the ledgers because they were full; if not zero, the other counts prove nothing.
     pub omitted: u64,
 }
 
 impl Verdict {
-    /// Whether nothing is wrong and the ledgers are complete.
-    pub fn clean(&self) -> bool {
+    /// Returns whether there are no violations and the ledgers are complete.
+    pub fn is_clean(&self) -> bool {
         *self == Verdict::default()
     }
 }
--- a/crates/bench/src/load/preset.rs
+++ b/crates/bench/src/load/preset.rs
@@ -1,10 +1,10 @@
-//! The two users' fleets, at a size that fits one machine.
+//! Presets of the two users' fleets, scaled to one machine.
 
 use std::{fmt, str::FromStr};
 
 use laburnum_kernel::document::Class;
 
-/// Whose fleet is played.
+/// A user's fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preset {
     /// Nile Families: 5 upstreams of drafting-desk, 3 of court-registry, 6 slots each.
@@ -13,17 +13,17 @@
     Cascadia,
 }
 
-/// A text is no preset.
+/// The error of a text that names no preset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not one of nile, cascadia")]
 pub struct BadPreset;
 
-/// A service and its upstreams.
+/// A service with its upstreams and paths.
 #[derive(Clone, Copy, Debug)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: &'static str,
-    /// Upstreams, each with a node beside it.
+    /// Number of upstreams, each with a node beside it.
     pub endpoints: usize,
     /// Path of its interactive requests.
     pub reads: &'static str,
@@ -35,7 +35,7 @@
 pub const ARCHIVE: &str = "/archive";
 
 impl Preset {
-    /// Its services.
+    /// Returns the services of the fleet.
     pub fn services(self) -> [Service; 2] {
         match self {
             Preset::Nile => [
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Requests that one upstream runs at once.
+    /// Returns the number of requests that one upstream runs at once.
     pub fn slots(self) -> u16 {
         match self {
             Preset::Nile => 6,
@@ -57,31 +57,31 @@
         }
     }
 
-    /// Mean service time in ms. Longer than in life, so that load and fleet fit one machine.
-    pub fn mean(self) -> u64 {
+    /// Returns the mean service time in ms; longer than in production, so that the load fits one machine.
+    pub fn mean_service_ms(self) -> u64 {
         match self {
             Preset::Nile => 60,
             Preset::Cascadia => 150,
         }
     }
 
-    /// Deadline of a class in ms, longer than in life by the same measure.
+    /// Returns the deadline of a class in ms, scaled like the service time.
     pub fn deadline(self, class: Class) -> u64 {
-        let times = match class {
+        let factor = match class {
             Class::Interactive => 12,
             Class::Exact => 40,
             Class::Background => 160,
         };
-        times * self.mean()
+        factor * self.mean_service_ms()
     }
 
-    /// Requests a second that all upstreams of `service` can run.
+    /// Returns the requests per second that all upstreams of `service` can run.
     pub fn capacity(self, service: &Service) -> f64 {
         let slots = service.endpoints * usize::from(self.slots());
-        slots as f64 * 1e3 / self.mean() as f64
+        slots as f64 * 1e3 / self.mean_service_ms() as f64
     }
 
-    /// The document of `service`.
+    /// Returns the document of `service`.
     pub fn document(self, service: &Service) -> String {
         let queue = usize::from(self.slots()) * 8;
         let Service {
--- a/crates/bench/src/load/report.rs
+++ b/crates/bench/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The report as a table and as one JSON object.
+//! The report of a run, as table rows or as one JSON object.
 
 use std::fmt;
 
@@ -6,66 +6,66 @@
 
 use super::{Settings, tally::Figures};
 
-/// One case.
+/// Figures of one case.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
-    /// Its name.
+pub struct CaseReport {
+    /// Name of the case.
     #[serde(skip)]
     pub case: String,
-    /// Through the nodes.
+    /// Figures with the nodes.
     #[serde(flatten)]
     pub nodes: Figures,
-    /// Straight to the upstreams.
+    /// Figures of the baseline.
     pub baseline: Figures,
 }
 
-/// Every case of a run.
+/// Figures of all cases of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Whose fleet.
+    /// Name of the preset.
     pub preset: String,
     /// Measured seconds of each case.
     pub seconds: u64,
-    /// What fixed the arrivals.
+    /// Seed of arrivals and service times.
     pub seed: u64,
-    /// Whether the nodes gave no duplicate, wrong refusal or mixed answer.
+    /// Whether the nodes caused no duplicate, wrong refusal or mixed answer.
     pub passed: bool,
     /// Figures by case.
     #[serde(serialize_with = "by_case")]
-    pub cases: Vec<Line>,
+    pub cases: Vec<CaseReport>,
 }
 
-/// Heading of the table.
+/// Header line of the table.
 pub const HEADING: &str = "case       way      goodput  inter p50/p99 ms  exact p99  backgr p99  retries  sent in-time late refused unknown missing  dup wrong mixed";
 
 impl Report {
-    /// The report of these cases.
-    pub fn new(settings: &Settings, cases: Vec<Line>) -> Report {
+    /// Returns the report of `cases`.
+    pub fn new(settings: &Settings, cases: Vec<CaseReport>) -> Report {
         Report {
             preset: settings.preset.to_string(),
             seconds: settings.seconds,
             seed: settings.seed,
-            passed: cases.iter().all(|it| it.nodes.verdict.clean()),
+            passed: cases.iter().all(|it| it.nodes.verdict.is_clean()),
             cases,
         }
     }
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for CaseReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        row(f, &self.case, "nodes", &self.nodes)?;
+        write_row(f, &self.case, "nodes", &self.nodes)?;
         writeln!(f)?;
-        row(f, "", "baseline", &self.baseline)
+        write_row(f, "", "baseline", &self.baseline)
     }
 }
 
-fn row(f: &mut fmt::Formatter<'_>, case: &str, way: &str, it: &Figures) -> fmt::Result {
+fn write_row(f: &mut fmt::Formatter<'_>, case: &str, way: &str, it: &Figures) -> fmt::Result {
     let goodput = it
         .goodput_share
         .map_or("-".to_owned(), |it| format!("{:.1}%", it * 100.0));
-    let p50 = millis(it.class_p50_ms.get("interactive"));
-    let [interactive, exact, background] =
-        ["interactive", "exact", "background"].map(|class| millis(it.class_p99_ms.get(class)));
+    let p50 = format_millis(it.class_p50_ms.get("interactive"));
+    let [interactive, exact, background] = ["interactive", "exact", "background"]
+        .map(|class| format_millis(it.class_p99_ms.get(class)));
     let (counts, verdict) = (it.counts, it.verdict);
     write!(
         f,
@@ -83,11 +83,11 @@
     )
 }
 
-fn millis(value: Option<&f64>) -> String {
+fn format_millis(value: Option<&f64>) -> String {
     value.map_or("-".to_owned(), |it| format!("{it:.1}"))
 }
 
-fn by_case<S: Serializer>(lines: &[Line], serializer: S) -> Result<S::Ok, S::Error> {
+fn by_case<S: Serializer>(lines: &[CaseReport], serializer: S) -> Result<S::Ok, S::Error> {
     let mut map = serializer.serialize_map(Some(lines.len()))?;
     for it in lines {
         map.serialize_entry(&it.case, it)?;
--- a/crates/bench/src/load/tally.rs
+++ b/crates/bench/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! Figures of one run.
+//! Counts, goodput and latencies of one run.
 
 use std::collections::BTreeMap;
 
@@ -8,94 +8,94 @@
 
 use super::judge::{Outcome, Verdict};
 
-/// What became of one request, with its times in microseconds from the start of the run.
+/// Outcome and times of one request, in microseconds from the start of the run.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// When it was due.
+    /// When the request was due.
     pub due: u64,
-    /// When its answer was whole.
+    /// When its answer was complete.
     pub done: u64,
-    /// Its route's deadline.
+    /// Deadline of its route, as a duration.
     pub deadline: u64,
-    /// What the answer says.
+    /// Outcome that the answer states.
     pub outcome: Outcome,
 }
 
-/// Counts and latencies from `begin` on, in microseconds from the start of the run.
+/// Counts and latencies of the measured time, from `begin` to `end` in microseconds since the run's start.
 #[derive(Debug)]
 pub struct Tally {
     begin: u64,
     end: u64,
-    useful: u64,
+    in_time: u64,
     latencies: BTreeMap<&'static str, Histogram<u64>>,
     counts: Counts,
 }
 
-/// Requests that were due in the measured time, by what became of them.
+/// Numbers of requests due in the measured time, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// All of them.
+    /// All requests.
     pub sent: u64,
-    /// Answered within the deadline.
+    /// Run and answered within the deadline.
     pub in_time: u64,
-    /// Answered after the deadline.
+    /// Run and answered after the deadline.
     pub late: u64,
     /// Refused as not run.
     pub refused: u64,
-    /// Perhaps run.
+    /// Of unknown outcome.
     pub unknown: u64,
-    /// Without any answer.
+    /// Without an answer.
     pub missing: u64,
 }
 
-/// What is reported of one run.
+/// Reported figures of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
-    /// Answers in time, as a share of what the upstreams can do; none if they have no service time.
+    /// Goodput as a share of the upstreams' capacity; `None` if they have no service time.
     pub goodput_share: Option<f64>,
-    /// What must be zero.
+    /// Violations; all must be zero.
     #[serde(flatten)]
     pub verdict: Verdict,
-    /// Attempts beyond each request's first, per request sent.
+    /// Retries per request sent.
     pub retry_share: f64,
-    /// 99th percentile of each class's latency, of answers only.
+    /// 99th percentile of each class's latency in ms, of answered requests only.
     pub class_p99_ms: BTreeMap<&'static str, f64>,
-    /// Median of each class's latency, of answers only.
+    /// Median of each class's latency in ms, of answered requests only.
     pub class_p50_ms: BTreeMap<&'static str, f64>,
-    /// Interactive p99 above that of the baseline in the same case.
+    /// Interactive p99 minus that of the baseline in the same case, in ms.
     pub added_p99_ms: Option<f64>,
-    /// Requests in all, with those before the measured time.
+    /// All requests, including those before the measured time.
     pub requests: u64,
-    /// Requests of the measured time by their end.
+    /// Requests due in the measured time, by outcome.
     pub counts: Counts,
 }
 
-/// Longest latency told apart, in microseconds.
+/// Maximum recorded latency, in microseconds; longer ones are clamped.
 const LATENCY_MAX: u64 = 120_000_000;
 /// Significant digits of latencies.
 const DIGITS: u8 = 3;
 
 impl Tally {
-    /// Measures from `begin` until `end`.
+    /// Returns an empty tally of the time from `begin` to `end`.
     pub fn new(begin: u64, end: u64) -> Tally {
         Tally {
             begin,
             end,
-            useful: 0,
+            in_time: 0,
             latencies: BTreeMap::new(),
             counts: Counts::default(),
         }
     }
 
-    /// Takes in one request.
+    /// Adds one request.
     pub fn add(&mut self, sample: Sample) {
         let latency = sample.done.saturating_sub(sample.due);
         let in_time = sample.outcome == Outcome::Ran && latency <= sample.deadline;
-        // Goodput counts work that ends in the measured time, whenever it was due.
+        // Goodput counts requests completed in the measured time, even if due before it.
         if in_time && (self.begin..self.end).contains(&sample.done) {
-            self.useful += 1;
+            self.in_time += 1;
         }
         if sample.due < self.begin {
             return;
@@ -108,7 +108,7 @@
                 } else {
                     self.counts.late += 1;
                 }
-                self.latency(sample.class, latency);
+                self.record_latency(sample.class, latency);
             }
             Outcome::NotRun => self.counts.refused += 1,
             Outcome::Unknown => self.counts.unknown += 1,
@@ -116,17 +116,17 @@
         }
     }
 
-    /// Answers in time per second.
+    /// Returns the answers within the deadline per second.
     pub fn goodput(&self) -> f64 {
-        self.useful as f64 * 1e6 / (self.end - self.begin) as f64
+        self.in_time as f64 * 1e6 / (self.end - self.begin) as f64
     }
 
-    /// Requests due in the measured time.
+    /// Returns the counts of requests due in the measured time.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The `share` quantile of every class that has answers.
+    /// Returns the `share` quantile of the latency in ms, of every class with answers.
     pub fn quantiles(&self, share: f64) -> BTreeMap<&'static str, f64> {
         let value = |it: &Histogram<u64>| it.value_at_quantile(share) as f64 / 1e3;
         self.latencies
@@ -135,16 +135,16 @@
             .collect()
     }
 
-    fn latency(&mut self, class: Class, latency: u64) {
-        let histogram = self.latencies.entry(word(class)).or_insert_with(|| {
+    fn record_latency(&mut self, class: Class, latency: u64) {
+        let histogram = self.latencies.entry(class_name(class)).or_insert_with(|| {
             Histogram::new_with_max(LATENCY_MAX, DIGITS).expect("the bounds are valid")
         });
         histogram.saturating_record(latency);
     }
 }
 
-/// A class as documents name it.
-pub fn word(class: Class) -> &'static str {
+/// Returns the name of a class as in documents.
+pub fn class_name(class: Class) -> &'static str {
     match class {
         Class::Interactive => "interactive",
         Class::Exact => "exact",
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `laburnum-bench`: load and experiments.
+//! `laburnum-bench`: benchmarks and experiments.
 
 use std::process::ExitCode;
 
@@ -23,10 +23,11 @@
         cli::SMOKE_COMMAND => smoke::run().await,
         _ => converge::run(&cli::plan(&values)).await,
     };
-    finish(run, values.get(&JSON))
+    print_report(run, values.get(&JSON))
 }
 
-fn finish(run: Result<Report, FleetError>, json: bool) -> ExitCode {
+/// Prints the report and returns the exit code of its verdict.
+fn print_report(run: Result<Report, FleetError>, json: bool) -> ExitCode {
     let report = match run {
         Ok(report) => report,
         Err(error) => {
--- a/crates/bench/src/metered.rs
+++ b/crates/bench/src/metered.rs
@@ -1,4 +1,4 @@
-//! One node's calls to the platform, with their bytes counted.
+//! A platform adapter that counts the bytes of one node's calls.
 
 use std::sync::{
     Arc,
@@ -9,22 +9,23 @@
 use laburnum_kernel::platform::{ObjectAnswer, ObjectOp, Row, TableAnswer, TableOp, Write};
 use laburnum_standin::Faulty;
 
-/// The platform as one node sees it. Bytes are those of keys, values and object contents, both ways; what an
-/// HTTP adapter adds around them is not counted, so a real platform's figures are higher.
+/// The platform of one node with byte counters.
+///
+/// Counts keys, values and object contents, both ways, without the overhead of HTTP.
 #[derive(Clone, Debug)]
 pub struct Metered {
     inner: Faulty,
     counts: Arc<Counts>,
 }
 
-/// Bytes by what they were for.
+/// Byte counters.
 #[derive(Debug, Default)]
 struct Counts {
     read: AtomicU64,
     written: AtomicU64,
 }
 
-/// Which counter an operation belongs to; its answer counts there too.
+/// Selects the counter of an operation and of its answer.
 #[derive(Clone, Copy, Debug)]
 enum Kind {
     Read,
@@ -32,7 +33,7 @@
 }
 
 impl Metered {
-    /// Counts from zero.
+    /// Wraps `inner` with counters at zero.
     pub fn new(inner: Faulty) -> Metered {
         Metered {
             inner,
@@ -40,13 +41,13 @@
         }
     }
 
-    /// Bytes of reads so far.
-    pub fn read(&self) -> u64 {
+    /// Returns the bytes of reads so far.
+    pub fn read_bytes(&self) -> u64 {
         self.counts.read.load(Ordering::Relaxed)
     }
 
-    /// Bytes of writes so far, those that conflicted included.
-    pub fn written(&self) -> u64 {
+    /// Returns the bytes of writes so far, including those that conflicted.
+    pub fn written_bytes(&self) -> u64 {
         self.counts.written.load(Ordering::Relaxed)
     }
 
@@ -66,9 +67,9 @@
                 TableOp::Get { .. } | TableOp::Scan { .. } => Kind::Read,
                 TableOp::Commit { .. } => Kind::Write,
             };
-            self.add(kind, table_op(&op));
+            self.add(kind, op_bytes(&op));
             let answer = self.inner.table(op).await;
-            self.add(kind, table_answer(&answer));
+            self.add(kind, answer_bytes(&answer));
             answer
         })
     }
@@ -90,7 +91,7 @@
     }
 }
 
-fn table_op(op: &TableOp) -> usize {
+fn op_bytes(op: &TableOp) -> usize {
     match op {
         TableOp::Get { keys } => keys.iter().map(String::len).sum(),
         TableOp::Scan { prefix, after, .. } => prefix.len() + after.len(),
@@ -105,7 +106,7 @@
     }
 }
 
-fn table_answer(answer: &TableAnswer) -> usize {
+fn answer_bytes(answer: &TableAnswer) -> usize {
     let row = |it: &Row| it.key.len() + it.value.len();
     match answer {
         TableAnswer::Rows(rows) | TableAnswer::Conflict(rows) => rows.iter().map(row).sum(),
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,11 +1,11 @@
-//! What a run found: tables and checks as text, or one JSON object.
+//! Results of a run: tables and checks as text, or one JSON object.
 
 use std::fmt;
 
 use serde::Serialize;
 use serde_json::{Map, Value, json};
 
-/// Rows of text under fixed column names.
+/// A text table with fixed column names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
     title: &'static str,
@@ -13,40 +13,40 @@
     rows: Vec<Vec<String>>,
 }
 
-/// A claim that the run tested.
+/// A check that the run made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Check {
-    /// What should hold.
+    /// Condition that should hold.
     pub name: &'static str,
-    /// Whether it did.
+    /// Whether it held.
     pub verdict: Verdict,
-    /// The figures that it was judged by.
+    /// Measured figures.
     pub found: String,
 }
 
-/// Whether something held.
+/// Result of a check or a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verdict {
-    /// It did.
+    /// The condition held.
     Pass,
-    /// It did not.
+    /// The condition did not hold.
     Fail,
 }
 
-/// Everything that one run found.
+/// All results of one run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Printed in this order.
+    /// Tables, in print order.
     pub tables: Vec<Table>,
-    /// Printed after the tables.
+    /// Checks, printed after the tables.
     pub checks: Vec<Check>,
     /// Fields of the JSON object besides `checks` and `verdict`.
     pub fields: Map<String, Value>,
 }
 
 impl Table {
-    /// An empty table.
+    /// Returns an empty table.
     pub fn new(title: &'static str, columns: &'static [&'static str]) -> Table {
         Table {
             title,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Adds a row; cells beyond the columns are not shown.
+    /// Adds a row; cells beyond the last column are not printed.
     pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
@@ -100,7 +100,7 @@
 }
 
 impl Report {
-    /// Notes whether `name` held, with the figures it was judged by.
+    /// Adds the check `name`, with whether it holds and the measured figures.
     pub fn check(&mut self, name: &'static str, holds: bool, found: impl fmt::Display) {
         self.checks.push(Check {
             name,
@@ -114,13 +114,13 @@
         self.fields.insert(name.to_owned(), value.into());
     }
 
-    /// Whether every check held. A report without a check proves nothing and fails.
+    /// Returns whether every check passed; a report without checks fails.
     pub fn verdict(&self) -> Verdict {
         let passed = self.checks.iter().all(|it| it.verdict == Verdict::Pass);
         (passed && !self.checks.is_empty()).into()
     }
 
-    /// The whole report as one object.
+    /// Returns the whole report as one JSON object.
     pub fn json(&self) -> Value {
         let mut fields = self.fields.clone();
         fields.insert("checks".to_owned(), json!(self.checks));
--- a/crates/bench/src/smoke.rs
+++ b/crates/bench/src/smoke.rs
@@ -1,4 +1,4 @@
-//! A small fleet from its start to a drain, in seconds.
+//! `laburnum-bench smoke`: a small fleet from startup to a drain, in seconds.
 
 use std::{
     net::SocketAddr,
@@ -21,33 +21,35 @@
     report::{Report, Table},
 };
 
-/// What drafts are served by.
+/// Document of the service that serves drafts.
 pub const DRAFTING: &str = include_str!("../../../examples/nile/drafting-desk.toml");
-/// What takes filings.
+/// Document of the service that accepts filings.
 pub const REGISTRY: &str = include_str!("../../../examples/nile/court-registry.toml");
 
-/// Requests carried before the drain, and again during it.
+/// Number of requests before the drain, and again during it.
 const REQUESTS: usize = 120;
 
-/// Requests open at once.
-const OPEN: usize = 6;
+/// Maximum number of requests in flight.
+const IN_FLIGHT_MAX: usize = 6;
 
-/// Service time of the upstreams, in ms, so that the drain meets requests in progress.
+/// Service time of the upstreams, in ms; long enough for the drain to begin with a request in flight.
 const RUN_MS: u64 = 5;
 
-/// Time in which a change must be in force, in ms.
+/// Maximum time until a change is in force everywhere, in ms.
 const CONVERGE_MS: u64 = 8_000;
 
-/// Longest wait for anything, in ms.
+/// Maximum wait for a condition on the fleet, in ms.
 const WAIT_MS: u64 = 20_000;
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// Runs it.
+/// Runs the smoke test and returns its report.
 pub async fn run() -> Result<Report, FleetError> {
     let mut fleet = Fleet::start(&Layout::default()).await?;
     let start = Instant::now();
-    let ready = fleet.until("readiness", WAIT_MS, |it| it.ready).await?;
+    let ready = fleet
+        .wait_until("readiness", WAIT_MS, |it| it.ready)
+        .await?;
     let mut upstreams = Vec::new();
     for (idx, service) in ["drafting-desk", "drafting-desk", "court-registry"]
         .iter()
@@ -58,44 +60,44 @@
             run: RUN_MS,
             ..UpstreamSettings::default()
         };
-        upstreams.push(fleet.upstream(idx, settings).await?);
+        upstreams.push(fleet.start_upstream(idx, settings).await?);
     }
-    // The drafting desk routes to the registry, which so comes first.
+    // The drafting desk routes to the registry, which must exist first.
     fleet
-        .accept(0, change(1, "court-registry", REGISTRY))
+        .submit_accepted(0, change(1, "court-registry", REGISTRY))
         .await?;
     let last = fleet
-        .accept(0, change(2, "drafting-desk", DRAFTING))
+        .submit_accepted(0, change(2, "drafting-desk", DRAFTING))
         .await?;
     let in_force = |it: &View| it.seq >= last.seq;
     let converged = fleet
-        .until("the document in every view", WAIT_MS, in_force)
+        .wait_until("the document in every view", WAIT_MS, in_force)
         .await?;
-    let served = |view: &View| {
-        endpoints(view, "drafting-desk") == 2 && endpoints(view, "court-registry") == 1
+    let is_served = |view: &View| {
+        ready_endpoints(view, "drafting-desk") == 2 && ready_endpoints(view, "court-registry") == 1
     };
     fleet
-        .until("every upstream in every view", WAIT_MS, served)
+        .wait_until("every upstream in every view", WAIT_MS, is_served)
         .await?;
 
     let client: Http = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
     let entries: Vec<_> = (0..fleet.len()).map(|it| fleet.config(it).caller).collect();
-    let whole = reads(&client, &entries).await;
-    let first = filing(&client, entries[0]).await;
-    let second = filing(&client, entries[1]).await;
-    let runs = filings(&upstreams);
+    let whole = send_reads(&client, &entries).await;
+    let first = send_filing(&client, entries[0]).await;
+    let second = send_filing(&client, entries[1]).await;
+    let runs = count_filing_runs(&upstreams);
 
     let leaving = upstreams.remove(1);
     let before = leaving.ledger().plain;
-    let (client_now, survivors) = (client.clone(), vec![entries[0], entries[2]]);
-    let reading = tokio::spawn(async move { reads(&client_now, &survivors).await });
-    let begun = || leaving.ledger().plain > before;
-    let held = in_progress(&client, entries[1], begun).await;
+    let (drain_client, survivors) = (client.clone(), vec![entries[0], entries[2]]);
+    let reading = tokio::spawn(async move { send_reads(&drain_client, &survivors).await });
+    let has_begun = || leaving.ledger().plain > before;
+    let in_flight = start_in_flight(&client, entries[1], has_begun).await;
     fleet.drain(1).await;
-    let met = leaving.ledger().plain - before;
-    // A task of this module does not panic; if it did, nothing was carried.
+    let drained_runs = leaving.ledger().plain - before;
+    // If the task panicked, count no request as answered.
     let drained = reading.await.unwrap_or(0);
-    let kept = match held {
+    let is_kept = match in_flight {
         Some(it) => it.await.unwrap_or(false),
         None => false,
     };
@@ -140,19 +142,23 @@
         whole == REQUESTS,
         format!("{whole} of {REQUESTS}"),
     );
-    let same = first.is_some() && first == second;
+    let is_same = first.is_some() && first == second;
     report.check(
         "a filing sent twice through two nodes runs once, with one answer",
-        same && runs == 1,
+        is_same && runs == 1,
         format!(
             "{runs} runs, answers {}",
-            if same { "alike" } else { "unlike or missing" }
+            if is_same {
+                "alike"
+            } else {
+                "unlike or missing"
+            }
         ),
     );
     report.check(
         "a drain cuts no request",
-        drained == REQUESTS && met > 0 && kept,
-        format!("{drained} of {REQUESTS} whole, {met} run by the leaving node"),
+        drained == REQUESTS && drained_runs > 0 && is_kept,
+        format!("{drained} of {REQUESTS} whole, {drained_runs} run by the leaving node"),
     );
     report.field("convergence_ms", converged.as_millis() as u64);
     report.field("control_bytes", sent);
@@ -173,7 +179,7 @@
     }
 }
 
-fn endpoints(view: &View, service: &str) -> usize {
+fn ready_endpoints(view: &View, service: &str) -> usize {
     let service = view.services.iter().find(|(it, _)| it.as_str() == service);
     let ready = |it: &&_| {
         matches!(
@@ -187,16 +193,16 @@
     service.map_or(0, |(_, it)| it.endpoints.iter().filter(ready).count())
 }
 
-/// Reads drafts through the entries in turn; returns how many answers came whole.
-async fn reads(client: &Http, entries: &[SocketAddr]) -> usize {
+/// Reads drafts through the entries round robin; returns the number of correct answers.
+async fn send_reads(client: &Http, entries: &[SocketAddr]) -> usize {
     let mut whole = 0;
     let mut open = JoinSet::new();
     for idx in 0..REQUESTS {
-        if open.len() == OPEN {
+        if open.len() == IN_FLIGHT_MAX {
             whole += usize::from(matches!(open.join_next().await, Some(Ok(true))));
         }
         let (client, entry) = (client.clone(), entries[idx % entries.len()]);
-        open.spawn(async move { read(&client, entry, idx).await });
+        open.spawn(async move { send_read(&client, entry, idx).await });
     }
     while let Some(done) = open.join_next().await {
         whole += usize::from(matches!(done, Ok(true)));
@@ -204,47 +210,47 @@
     whole
 }
 
-/// Sends one request; tells whether it was answered whole.
-async fn read(client: &Http, entry: SocketAddr, idx: usize) -> bool {
+/// Reads one draft; returns whether the answer is correct.
+async fn send_read(client: &Http, entry: SocketAddr, idx: usize) -> bool {
     let request = Request::get(format!("http://{entry}/drafts/{idx}"))
         .header(http::header::HOST, "drafting-desk")
         .body(Full::default());
     let expected = format!("GET /drafts/{idx} \n");
     let got = send(client, request).await;
-    let whole = got == Some((StatusCode::OK, expected.into()));
-    if !whole {
+    let is_whole = got == Some((StatusCode::OK, expected.into()));
+    if !is_whole {
         eprintln!("smoke: request {idx} through {entry} was answered {got:?}");
     }
-    whole
+    is_whole
 }
 
-/// Sends requests one by one until `begun` holds, and returns the one that is in progress by then.
+/// Sends requests one by one until `has_begun` holds, and returns the one then in flight.
 ///
-/// An entry prefers upstreams of its own zone, so requests through other entries may never reach the
-/// leaving one; a drain that meets no request would prove nothing.
-async fn in_progress(
+/// Ensures that the drain begins with a request in flight at the leaving upstream, which requests through
+/// entries of other zones may never reach.
+async fn start_in_flight(
     client: &Http,
     entry: SocketAddr,
-    begun: impl Fn() -> bool,
+    has_begun: impl Fn() -> bool,
 ) -> Option<JoinHandle<bool>> {
     for idx in 0..REQUESTS {
         let client = client.clone();
-        let task = tokio::spawn(async move { read(&client, entry, idx).await });
+        let task = tokio::spawn(async move { send_read(&client, entry, idx).await });
         while !task.is_finished() {
-            if begun() {
+            if has_begun() {
                 return Some(task);
             }
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        if begun() {
+        if has_begun() {
             return Some(task);
         }
     }
     None
 }
 
-/// Sends the one filing; nothing unless it was answered well.
-async fn filing(client: &Http, entry: SocketAddr) -> Option<Bytes> {
+/// Sends the filing with its fixed key; returns the body of a successful answer.
+async fn send_filing(client: &Http, entry: SocketAddr) -> Option<Bytes> {
     let request = Request::builder()
         .method(Method::POST)
         .uri(format!("http://{entry}/filings"))
@@ -265,8 +271,8 @@
     Some((status, body.to_bytes()))
 }
 
-/// Runs of the filing by every upstream's ledger.
-fn filings(upstreams: &[Upstream]) -> usize {
+/// Returns how often the filing was run, by the ledgers of the upstreams.
+fn count_filing_runs(upstreams: &[Upstream]) -> usize {
     let ledgers = upstreams.iter().map(Upstream::ledger);
     let runs = ledgers.map(|it| {
         it.runs
--- a/crates/bench/src/watch.rs
+++ b/crates/bench/src/watch.rs
@@ -1,4 +1,4 @@
-//! Looks at every node's view while a fleet runs, and at what the platform serves.
+//! Background monitor of a running fleet: polls every node's view and the platform's read counter.
 
 use std::{
     collections::VecDeque,
@@ -11,27 +11,27 @@
 use laburnum_standin::Faulty;
 use tokio::task::JoinHandle;
 
-/// Interval between two looks, in ms.
-const LOOK_MS: u64 = 20;
+/// Poll interval, in ms.
+const POLL_MS: u64 = 20;
 
-/// Looks that make a second.
-const LOOKS_PER_SECOND: usize = 50;
+/// Number of polls in a second.
+const POLLS_PER_SECOND: usize = 50;
 
-/// A running watch. It ends when it is closed.
+/// A running monitor; it runs until [`Watch::close`].
 #[derive(Debug)]
 pub struct Watch {
     state: Arc<Mutex<State>>,
     task: JoinHandle<()>,
 }
 
-/// What a watch found.
+/// Results of a monitor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Findings {
-    /// Views that went back, counted once a look.
+    /// Number of polls of a node whose view went back to a lower position.
     pub steps_back: u64,
-    /// Views with a route to an absent service, counted once a position of a node.
+    /// Number of views with a route to an absent service, counted once per node and position.
     pub dangling: u64,
-    /// Most reads of the platform in one second.
+    /// Highest number of platform reads in one second.
     pub reads_peak: u64,
 }
 
@@ -39,27 +39,28 @@
 struct State {
     nodes: Vec<Watched>,
     findings: Findings,
-    /// The platform's reads at each look of the last second.
+    /// Platform's read counter at each poll of the last second.
     reads: VecDeque<u64>,
 }
 
-/// One place of the fleet.
+/// Monitor state of one place of the fleet.
 #[derive(Debug)]
 struct Watched {
     control: Control,
-    /// Position that this process showed.
-    process: Seq,
-    /// Highest position that any process here served at; a restarted one must not serve below it.
-    served: Seq,
+    /// Position of the current process at the last poll.
+    process_seq: Seq,
+    /// Highest position at which any process of this place was ready; a restarted one must not be ready
+    /// below it.
+    ready_seq: Seq,
 }
 
 impl Watch {
-    /// Watches these nodes, in the order of their places.
+    /// Starts a monitor of these nodes, given in the order of their places.
     pub fn start(controls: impl Iterator<Item = Control>, platform: Faulty) -> Watch {
         let nodes = controls.map(|control| Watched {
             control,
-            process: Seq::default(),
-            served: Seq::default(),
+            process_seq: Seq::default(),
+            ready_seq: Seq::default(),
         });
         let state = Arc::new(Mutex::new(State {
             nodes: nodes.collect(),
@@ -68,33 +69,33 @@
         let shared = state.clone();
         let task = tokio::spawn(async move {
             loop {
-                lock(&shared).look(&platform);
-                tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+                lock(&shared).poll(&platform);
+                tokio::time::sleep(Duration::from_millis(POLL_MS)).await;
             }
         });
         Watch { state, task }
     }
 
-    /// The node at `idx` is a new process from now on.
-    pub fn restarted(&self, idx: usize, control: Control) {
+    /// Monitors the restarted node at `idx` as a new process.
+    pub fn set_restarted(&self, idx: usize, control: Control) {
         let node = &mut lock(&self.state).nodes[idx];
         node.control = control;
-        node.process = Seq::default();
+        node.process_seq = Seq::default();
     }
 
-    /// What was found so far.
+    /// Returns the results so far.
     pub fn findings(&self) -> Findings {
         lock(&self.state).findings
     }
 
-    /// Forgets the peak of reads, to find that of the next part of the run.
+    /// Resets the peak of reads, to measure the next case.
     pub fn reset_peak(&self) {
         let state = &mut *lock(&self.state);
         state.findings.reads_peak = 0;
         state.reads.clear();
     }
 
-    /// Ends the watch.
+    /// Stops the monitor and returns its results.
     pub fn close(self) -> Findings {
         self.task.abort();
         self.findings()
@@ -102,20 +103,20 @@
 }
 
 impl Findings {
-    /// Promises broken.
-    pub fn breaks(&self) -> u64 {
+    /// Returns the number of violations of an invariant.
+    pub fn violations(&self) -> u64 {
         self.steps_back + self.dangling
     }
 }
 
 impl State {
-    fn look(&mut self, platform: &Faulty) {
+    fn poll(&mut self, platform: &Faulty) {
         for node in &mut self.nodes {
-            node.look(&mut self.findings);
+            node.poll(&mut self.findings);
         }
         let stats = platform.stats();
         self.reads.push_back(stats.reads);
-        if self.reads.len() > LOOKS_PER_SECOND {
+        if self.reads.len() > POLLS_PER_SECOND {
             self.reads.pop_front();
         }
         let first = self.reads.front().copied().unwrap_or(stats.reads);
@@ -124,23 +125,23 @@
 }
 
 impl Watched {
-    fn look(&mut self, findings: &mut Findings) {
+    fn poll(&mut self, findings: &mut Findings) {
         let view = self.control.view();
-        if view.seq < self.process || (view.ready && view.seq < self.served) {
+        if view.seq < self.process_seq || (view.ready && view.seq < self.ready_seq) {
             findings.steps_back += 1;
         }
-        if view.seq != self.process && dangles(&view) {
+        if view.seq != self.process_seq && has_dangling_route(&view) {
             findings.dangling += 1;
         }
-        self.process = view.seq;
+        self.process_seq = view.seq;
         if view.ready {
-            self.served = self.served.max(view.seq);
+            self.ready_seq = self.ready_seq.max(view.seq);
         }
     }
 }
 
-/// Whether a route of the view names a service that it lacks.
-pub fn dangles(view: &View) -> bool {
+/// Returns whether a route of the view names a service that the view lacks.
+pub fn has_dangling_route(view: &View) -> bool {
     let mut uses = view.services.values().flat_map(|it| it.document.uses());
     uses.any(|it| !view.services.contains_key(it))
 }
--- a/crates/bench/tests/load.rs
+++ b/crates/bench/tests/load.rs
@@ -1,4 +1,4 @@
-//! The parts of `laburnum-bench load` that decide: arrivals, the judge and the tally.
+//! The arrivals, the judge and the tally of `laburnum-bench load`.
 
 use laburnum_bench::load::{
     arrivals::{Flow, Kind, schedule},
@@ -42,21 +42,21 @@
 }
 
 #[test]
-fn filings_sent_again_follow_their_first() {
+fn repeated_filings_follow_their_original() {
     let arrivals = schedule(&[flow(Kind::Exact, 500.0)], 4_000, 3);
-    let again: Vec<_> = arrivals
+    let repeats: Vec<_> = arrivals
         .iter()
-        .filter(|it| it.kind == Kind::Again)
+        .filter(|it| it.kind == Kind::Repeat)
         .collect();
-    assert!(again.len() > 100);
-    for it in again {
-        let same = |first: &&_| is_first(first, it.number);
-        let first = arrivals.iter().find(same).expect("a first");
+    assert!(repeats.len() > 100);
+    for it in repeats {
+        let is_same = |first: &&_| is_original(first, it.number);
+        let first = arrivals.iter().find(is_same).expect("a first");
         assert!(first.due <= it.due);
     }
 }
 
-fn is_first(it: &laburnum_bench::load::arrivals::Arrival, number: u64) -> bool {
+fn is_original(it: &laburnum_bench::load::arrivals::Arrival, number: u64) -> bool {
     it.kind == Kind::Exact && it.number == number
 }
 
@@ -77,14 +77,20 @@
     }
 }
 
-// Request `a` ran and `b` did not; what an answer says of them is judged by that alone.
+// Request `a` ran and `b` did not; an answer that contradicts the ledger must be counted.
 #[test_case("a", Outcome::Ran, Echo::Own, 0, 0; "a run answered as such")]
 #[test_case("a", Outcome::NotRun, Echo::None, 1, 0; "a run refused")]
 #[test_case("a", Outcome::Unknown, Echo::None, 0, 0; "a run of unknown outcome")]
 #[test_case("a", Outcome::Missing, Echo::None, 0, 0; "a run without answer")]
 #[test_case("b", Outcome::NotRun, Echo::None, 0, 0; "a refusal")]
 #[test_case("a", Outcome::Ran, Echo::Foreign, 0, 1; "the body of another request")]
-fn judge_by_ledger(request: &str, outcome: Outcome, echo: Echo, wrong: u64, mixed: u64) {
+fn answers_are_judged_by_the_ledger(
+    request: &str,
+    outcome: Outcome,
+    echo: Echo,
+    wrong: u64,
+    mixed: u64,
+) {
     for state in [RunState::Started, RunState::Finished, RunState::Crashed] {
         let ledger = Ledger {
             runs: vec![run("a", None, state)],
@@ -101,7 +107,7 @@
 }
 
 #[test]
-fn judge_counts_runs_of_a_key_beyond_its_first() {
+fn repeated_runs_of_a_key_count_as_duplicates() {
     let mut ledger = Ledger {
         runs: vec![
             run("a", Some("k"), RunState::Crashed),
@@ -117,16 +123,16 @@
         ..Ledger::default()
     });
     assert_eq!(judge(&[], &ledger).duplicates, 2);
-    assert!(!judge(&[], &ledger).clean());
+    assert!(!judge(&[], &ledger).is_clean());
 }
 
 #[test]
-fn incomplete_ledger_proves_nothing() {
+fn incomplete_ledger_is_not_clean() {
     let ledger = Ledger {
         omitted: 1,
         ..Ledger::default()
     };
-    assert!(!judge(&[], &ledger).clean());
+    assert!(!judge(&[], &ledger).is_clean());
 }
 
 fn sample(due: u64, done: u64, outcome: Outcome) -> Sample {
@@ -140,14 +146,14 @@
 }
 
 #[test]
-fn tally_counts_from_when_a_request_was_due() {
+fn latency_counts_from_the_due_time() {
     let mut tally = Tally::new(1_000_000, 2_000_000);
-    // Due before the measured time, done within it: goodput, but no latency.
+    // Due before the measured time and completed in it: counts for goodput, but not for latency.
     tally.add(sample(950_000, 1_010_000, Outcome::Ran));
     tally.add(sample(1_100_000, 1_150_000, Outcome::Ran));
     tally.add(sample(1_200_000, 1_310_000, Outcome::Ran));
     tally.add(sample(1_300_000, 1_301_000, Outcome::NotRun));
-    // In time, but done after the measured time.
+    // Within the deadline, but completed after the measured time.
     tally.add(sample(1_990_000, 2_010_000, Outcome::Ran));
     assert_eq!(tally.goodput(), 2.0);
     let counts = tally.counts();
--- a/crates/bench/tests/report.rs
+++ b/crates/bench/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report says what it was told, and fails on one failed check.
+//! The report prints its tables and checks, and fails on one failed check.
 
 use laburnum_bench::report::{Report, Table, Verdict};
 use serde_json::json;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn tables_are_aligned_and_followed_by_checks_and_verdict() {
+fn text_report_aligns_tables_and_ends_in_verdict() {
     let expected = "\
 cases
   case        ms
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn json_holds_fields_checks_and_verdict() {
+fn json_report_holds_fields_and_verdict() {
     let expected = json!({
         "nodes": 3,
         "checks": [{ "name": "in force everywhere", "verdict": "pass", "found": "105 ms" }],
--- a/crates/bench/tests/smoke.rs
+++ b/crates/bench/tests/smoke.rs
@@ -1,10 +1,10 @@
-//! The README's first command, inside the test runner.
+//! Runs `laburnum-bench smoke`, the first command of the README.
 
 use std::time::Duration;
 
 use laburnum_bench::{report::Verdict, smoke};
 
-/// Longest the whole run may take before it counts as stuck; it usually takes a few seconds.
+/// Timeout of the whole run, which usually takes a few seconds.
 const LIMIT: Duration = Duration::from_secs(120);
 
 #[tokio::test(flavor = "multi_thread")]
