--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -53,10 +53,12 @@
     #[error("node {node} cannot start: {source}")]
     Start { node: usize, source: StartError },
     /// An upstream could not start.
-    #[error("the upstream beside node {node} cannot start: {source}; free some ports")]
+    #[error("the upstream beside node {node} cannot start: {source}; check for free ports")]
     Upstream { node: usize, source: std::io::Error },
     /// No port is free.
-    #[error("no free port between {PORT_MIN} and {PORT_MAX} on 127.0.0.1; end what listens there")]
+    #[error(
+        "no free port between {PORT_MIN} and {PORT_MAX} on 127.0.0.1; stop processes that listen there"
+    )]
     NoPort,
     /// A condition did not hold within its time limit.
     #[error(
@@ -67,10 +69,10 @@
     #[error("node {node}: {source}")]
     Closed { node: usize, source: Closed },
     /// A submission was not accepted.
-    #[error("submission for {service} was not accepted: {verdict:?}; see the verdict")]
+    #[error("submission for {service} was not accepted: {verdict:?}")]
     Verdict { service: Name, verdict: Verdict },
     /// The node's reply was not a verdict.
-    #[error("node {node} gave no verdict; it is of another version")]
+    #[error("node {node} replied to a submission with something other than a verdict")]
     Reply { node: usize },
 }
 
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -44,11 +44,13 @@
     #[error("cannot reach the node at {node}: {why}; start it, or name another with --node")]
     Connect { node: SocketAddr, why: String },
     /// The request was sent, but the connection failed before the answer was complete.
-    #[error("the answer of the node at {node} was lost: {why}; ask again, or another with --node")]
+    #[error(
+        "the connection to the node at {node} failed before its answer was complete: {why}; retry, or name another node with --node"
+    )]
     Lost { node: SocketAddr, why: String },
     /// The request was sent, but no answer came within the timeout.
     #[error(
-        "the node at {node} did not answer within {seconds} s; ask again, or another with --node"
+        "the node at {node} did not answer within {seconds} s; retry, or name another node with --node"
     )]
     Timeout { node: SocketAddr, seconds: u64 },
     /// The node answered with an error.
@@ -56,7 +58,7 @@
     Refused { status: StatusCode, error: String },
     /// The answer is not of this API.
     #[error(
-        "{node} answered {status} with something else; check that --node is a node's admin address"
+        "{node} answered {status} with a body that is not of the admin API; check that --node is a node's admin address"
     )]
     UnexpectedAnswer {
         node: SocketAddr,
