--- a/crates/edge/src/api.rs
+++ b/crates/edge/src/api.rs
@@ -359,7 +359,7 @@
         QuarantineBody {
             print: format!("{:016x}", record.print.0),
             service: record.service,
-            held: record.state == guard::Hold::Held,
+            held: record.state == guard::QuarantineState::Held,
             time: record.time,
         }
     }
--- a/crates/kernel/examples/acceptance.rs
+++ b/crates/kernel/examples/acceptance.rs
@@ -196,7 +196,7 @@
         if !has_snapshot {
             driver.objects.clear();
         }
-        driver.deaf = [0, 1].into();
+        driver.unreachable = [0, 1].into();
         let reads = driver.reads;
         let started = driver.add("b");
         driver.run(20_000);
--- a/crates/kernel/examples/quarantine.rs
+++ b/crates/kernel/examples/quarantine.rs
@@ -35,7 +35,7 @@
 fn measure(count: usize, loss: u64) -> String {
     let mut fleet = Fleet::new(count);
     fleet.loss = loss;
-    fleet.spent.fill((0, 0));
+    fleet.guard_traffic.fill((0, 0));
     let start = fleet.now;
     for idx in 0..2 {
         let others = (1..INFLIGHT).map(|it| it + INFLIGHT * idx);
@@ -44,14 +44,14 @@
         fleet.drain();
     }
     let reached = quarantined_nodes(&fleet);
-    let spent = fleet.spent.clone();
+    let spent = fleet.guard_traffic.clone();
     while quarantined_nodes(&fleet) < count && fleet.now.since(start) < 600_000 {
         fleet.run(100);
     }
     let everywhere = fleet.now.since(start);
-    fleet.spent.fill((0, 0));
+    fleet.guard_traffic.fill((0, 0));
     fleet.run(QUIET_MS);
-    let quiet: u64 = fleet.spent.iter().map(|it| it.1).sum();
+    let quiet: u64 = fleet.guard_traffic.iter().map(|it| it.1).sum();
     let messages: u64 = spent.iter().map(|it| it.0).sum();
     let bytes: u64 = spent.iter().map(|it| it.1).sum();
     let worst = spent.iter().map(|it| it.1).max().unwrap_or_default();
@@ -73,6 +73,6 @@
 fn quarantined_nodes(fleet: &Fleet) -> usize {
     let views = fleet.kernels.iter();
     views
-        .filter(|it| it.state().guard.quarantined().holds(Fingerprint(0)))
+        .filter(|it| it.state().guard.quarantined().is_held(Fingerprint(0)))
         .count()
 }
--- a/crates/kernel/src/accept.rs
+++ b/crates/kernel/src/accept.rs
@@ -259,7 +259,7 @@
     let State { accept, log, .. } = state;
     match log.seq() {
         Seq(0) => accept.reader.start(cx),
-        _ => accept.reader.follow(cx, log),
+        _ => accept.reader.start_tail(cx, log),
     }
 }
 
--- a/crates/kernel/src/admission/link.rs
+++ b/crates/kernel/src/admission/link.rs
@@ -6,9 +6,9 @@
 use crate::refusal::{Reason, Refusal};
 
 /// Maximum length of bodies that bypass the gate, in bytes.
-pub const SMALL: u64 = 8 * 1024;
+pub const UNGATED_MAX_BYTES: u64 = 8 * 1024;
 /// Length assumed for a body of unknown length, in bytes: the longest that is buffered whole.
-pub const UNKNOWN: u64 = 64 * 1024;
+pub const UNKNOWN_LENGTH_BYTES: u64 = 64 * 1024;
 /// Share of the link for bodies. The rest carries short requests, answers and control traffic.
 const SHARE: f64 = 0.7;
 /// Maximum time in which all admitted bodies must be able to arrive, in ms.
--- a/crates/kernel/src/admission/ranks.rs
+++ b/crates/kernel/src/admission/ranks.rs
@@ -31,7 +31,7 @@
 /// Minimum time left to the deadline with which a refused caller can retry, in mean service times. With less, a request
 /// waits as long as it can still be answered.
 const RETRY_FACTOR: f64 = 4.0;
-/// Divisor of the time left to the goal that gives the maximum wait with [`Queue::Short`]. It is above zero so that
+/// Divisor of the time left to the goal that gives the maximum wait with [`WaitLimit::Short`]. It is above zero so that
 /// urgent requests can wait for the next free slot.
 const SHORT_WAIT_DIVISOR: u64 = 12;
 /// Interval of the check of waiting requests, in ms.
@@ -39,7 +39,7 @@
 
 /// A request offered for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct RankedRequest {
     /// Priority; zero is the most urgent.
     pub priority: u8,
     /// Time up to which the answer is in time.
@@ -47,14 +47,14 @@
     /// Time from which the answer is of no use.
     pub deadline: Ms,
     /// Limit of the wait for a slot.
-    pub queue: Queue,
+    pub queue: WaitLimit,
     /// Kind of the request, if the entry sent it.
     pub kind: Kind,
 }
 
 /// Limit of a request's wait for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Queue {
+pub enum WaitLimit {
     /// As long as the answer is of use.
     Full,
     /// A small part of the time left to the goal, as another endpoint may have a free slot.
@@ -104,7 +104,7 @@
     /// Starts in a free slot.
     Slot(Entry),
     /// Waits behind other requests.
-    Queue(Entry),
+    WaitLimit(Entry),
 }
 
 /// Whether a request can still reach its goal. Timely requests sort first.
@@ -129,10 +129,10 @@
     }
 
     /// Runs, queues or refuses a request.
-    pub fn offer(&mut self, now: Ms, order: Order) -> Offer {
-        let entry = match self.decide(now, order) {
+    pub fn offer(&mut self, now: Ms, request: RankedRequest) -> Offer {
+        let entry = match self.decide(now, request) {
             Ok(Decision::Slot(it)) => return Offer::Run(self.start(now, it)),
-            Ok(Decision::Queue(it)) => it,
+            Ok(Decision::WaitLimit(it)) => it,
             Err(refusal) => return Offer::Refuse(refusal),
         };
         let rank = entry.rank;
@@ -144,8 +144,8 @@
     }
 
     /// Returns the refusal that `offer` would give now. Used before a long body is read.
-    pub fn check(&mut self, now: Ms, order: Order) -> Result<(), Refusal> {
-        self.decide(now, order).map(drop)
+    pub fn check(&mut self, now: Ms, request: RankedRequest) -> Result<(), Refusal> {
+        self.decide(now, request).map(drop)
     }
 
     /// Returns a permit and starts waiting requests in the freed slot.
@@ -238,16 +238,16 @@
         self.slots
     }
 
-    fn entry(&mut self, now: Ms, order: Order) -> Entry {
+    fn entry(&mut self, now: Ms, request: RankedRequest) -> Entry {
         self.last_ticket += 1;
-        let rank = rank_of(order.priority);
-        let kind = self.kinds.key(now, order.kind, rank);
+        let rank = rank_of(request.priority);
+        let kind = self.kinds.key(now, request.kind, rank);
         let mut entry = Entry {
             rank,
             timeliness: Timeliness::Timely,
-            due: order.goal,
+            due: request.goal,
             ticket: Ticket(self.last_ticket),
-            deadline: order.deadline,
+            deadline: request.deadline,
             kind,
         };
         self.mark_late(now, &mut entry);
@@ -264,24 +264,24 @@
     }
 
     /// Decides whether a request starts, waits or is refused.
-    fn decide(&mut self, now: Ms, order: Order) -> Result<Decision, Refusal> {
+    fn decide(&mut self, now: Ms, request: RankedRequest) -> Result<Decision, Refusal> {
         if let Some(reason) = phase_reason(self.phase) {
             return Err(Refusal::new(reason));
         }
-        if order.deadline <= now {
+        if request.deadline <= now {
             return Err(Refusal::new(Reason::Expired));
         }
         self.observe(now);
-        let entry = self.entry(now, order);
+        let entry = self.entry(now, request);
         if self.can_start(&entry) {
             return Ok(Decision::Slot(entry));
         }
         let service = self.kinds.service(entry.kind);
         let wait = self.estimated_wait(entry.rank, service, self.waiting.range(..&entry));
-        let max_wait = self.max_wait(now, order, service);
+        let max_wait = self.max_wait(now, request, service);
         match wait > max_wait {
             true => Err(Refusal::after(Reason::Overloaded, wait - max_wait)),
-            false => Ok(Decision::Queue(entry)),
+            false => Ok(Decision::WaitLimit(entry)),
         }
     }
 
@@ -319,17 +319,20 @@
     }
 
     /// Returns the maximum wait of a request, in ms.
-    fn max_wait(&self, now: Ms, order: Order, service: f64) -> u64 {
-        let timely = order.goal.since(now).saturating_sub(required_time(service));
-        let left = order.deadline.since(now);
+    fn max_wait(&self, now: Ms, request: RankedRequest, service: f64) -> u64 {
+        let timely = request
+            .goal
+            .since(now)
+            .saturating_sub(required_time(service));
+        let left = request.deadline.since(now);
         let answerable = left.saturating_sub(service as u64);
         let late = match (left as f64) < RETRY_FACTOR * self.kinds.mean_service() {
             true => answerable,
             false => answerable.min(left / LATE_WAIT_DIVISOR),
         };
-        match order.queue {
-            Queue::Full => timely.max(late),
-            Queue::Short => timely.min(order.goal.since(now) / SHORT_WAIT_DIVISOR),
+        match request.queue {
+            WaitLimit::Full => timely.max(late),
+            WaitLimit::Short => timely.min(request.goal.since(now) / SHORT_WAIT_DIVISOR),
         }
     }
 
--- a/crates/kernel/src/drain.rs
+++ b/crates/kernel/src/drain.rs
@@ -25,7 +25,7 @@
 pub const GRACE_MS: u64 = 30_000;
 
 /// Time for the `Gone` record to spread before the exit, in ms.
-pub const FAREWELL_MS: u64 = 500;
+pub const LEAVE_SPREAD_MS: u64 = 500;
 
 /// Time for the `Gone` record to spread before the exit of a node to which no entry sends requests, in ms.
 pub const IDLE_LEAVE_SPREAD_MS: u64 = 200;
@@ -167,7 +167,7 @@
 fn leave_spread_time(state: &State, senders: Senders) -> u64 {
     match senders {
         _ if is_alone(state) => 0,
-        Senders::Some => FAREWELL_MS,
+        Senders::Some => LEAVE_SPREAD_MS,
         Senders::None => IDLE_LEAVE_SPREAD_MS,
     }
 }
--- a/crates/kernel/src/guard.rs
+++ b/crates/kernel/src/guard.rs
@@ -81,12 +81,12 @@
     /// Time at which it was quarantined or lifted; the record expires [`QUARANTINE_MS`] later.
     pub time: Ms,
     /// Whether it is quarantined or lifted.
-    pub state: Hold,
+    pub state: QuarantineState,
 }
 
 /// State of a quarantine record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Hold {
+pub enum QuarantineState {
     /// The request is refused as not run.
     Held,
     /// An operator lifted the quarantine; earlier crashes no longer count.
@@ -112,13 +112,13 @@
     }
 
     /// Returns whether the request is quarantined and must be refused as not run.
-    pub fn holds(&self, print: Fingerprint) -> bool {
+    pub fn is_held(&self, print: Fingerprint) -> bool {
         self.held.contains(&print)
     }
 
     /// Returns whether the request was in flight in a crash. An owner runs at most one suspect at a time, so that a
     /// second crash identifies the cause.
-    pub fn suspects(&self, print: Fingerprint) -> bool {
+    pub fn is_suspect(&self, print: Fingerprint) -> bool {
         self.suspects.contains(&print)
     }
 }
@@ -183,7 +183,10 @@
 impl Guard {
     /// Returns the current quarantines and suspects for the view.
     pub fn quarantined(&self) -> Arc<Quarantined> {
-        let held = self.records.values().filter(|it| it.state == Hold::Held);
+        let held = self
+            .records
+            .values()
+            .filter(|it| it.state == QuarantineState::Held);
         let inflight = self
             .crashes
             .iter()
@@ -205,7 +208,7 @@
     /// Returns the time up to which crashes do not count against `print`.
     fn cleared_until(&self, print: Fingerprint) -> Option<Ms> {
         let record = self.records.get(&print);
-        let lifted = record.filter(|it| it.state == Hold::Lifted);
+        let lifted = record.filter(|it| it.state == QuarantineState::Lifted);
         let survived = self.survived.get(&print).copied();
         lifted.map(|it| it.time).max(survived)
     }
@@ -373,7 +376,7 @@
             print: *print,
             service: service.clone(),
             time,
-            state: Hold::Held,
+            state: QuarantineState::Held,
         };
         if guard.merge(&record) {
             let pairs = vec![
@@ -405,12 +408,12 @@
     note: &str,
 ) -> Reply {
     let held = state.guard.records.get(&print);
-    let Some(held) = held.filter(|it| it.state == Hold::Held) else {
+    let Some(held) = held.filter(|it| it.state == QuarantineState::Held) else {
         return Reply::Absent;
     };
     let record = Record {
         time: held.time.max(cx.now),
-        state: Hold::Lifted,
+        state: QuarantineState::Lifted,
         ..held.clone()
     };
     let pairs = vec![
--- a/crates/kernel/src/health.rs
+++ b/crates/kernel/src/health.rs
@@ -7,7 +7,7 @@
 
 /// An observation of the upstream's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum Observation {
     /// The upstream reported its phase.
     Report(Phase),
     /// The upstream answered a health check with something other than a phase.
@@ -70,14 +70,14 @@
     }
 
     /// Applies one observation; returns the event for the other plug-ins if the phase changed.
-    pub fn observe(&mut self, now: Ms, sign: Sign) -> Option<UpstreamEvent> {
-        match sign {
-            Sign::Report(phase) => self.report(now, phase),
-            Sign::Unclear => self.report(now, self.reported),
-            Sign::Served => self.served(now),
-            Sign::Late => self.late_reports += 1,
-            Sign::Lost => self.record_loss(now),
-            Sign::Refused => self.suspend(now),
+    pub fn observe(&mut self, now: Ms, observation: Observation) -> Option<UpstreamEvent> {
+        match observation {
+            Observation::Report(phase) => self.report(now, phase),
+            Observation::Unclear => self.report(now, self.reported),
+            Observation::Served => self.served(now),
+            Observation::Late => self.late_reports += 1,
+            Observation::Lost => self.record_loss(now),
+            Observation::Refused => self.suspend(now),
         }
         let phase = self.evaluate(now);
         if phase == self.phase {
--- a/crates/kernel/src/log/recovery.rs
+++ b/crates/kernel/src/log/recovery.rs
@@ -73,7 +73,7 @@
     }
 
     /// Starts with the log after this node's position, unless a recovery is in progress. For short lags.
-    pub fn follow(&mut self, cx: &mut Context<'_>, log: &Log) {
+    pub fn start_tail(&mut self, cx: &mut Context<'_>, log: &Log) {
         if self.is_idle() {
             self.started_at = cx.now;
             self.read_tail(cx, log);
--- a/crates/kernel/src/pick/placement.rs
+++ b/crates/kernel/src/pick/placement.rs
@@ -14,7 +14,7 @@
     last_resort,
 };
 use crate::{
-    admission::ranks::{Order, Outlook, RANKS, rank_of},
+    admission::ranks::{Outlook, RANKS, RankedRequest, rank_of},
     clock::Ms,
     id::NodeId,
     members::{Phase, Reach},
@@ -167,9 +167,15 @@
     }
 
     /// Chooses an endpoint for a request that was already sent to `tried`.
-    pub fn place(&self, now: Ms, rng: &mut impl Rng, order: Order, tried: &[NodeId]) -> Choice {
-        let rank = rank_of(order.priority);
-        let lane = Lane::of(routing::class_of(order.priority), order.kind);
+    pub fn place(
+        &self,
+        now: Ms,
+        rng: &mut impl Rng,
+        request: RankedRequest,
+        tried: &[NodeId],
+    ) -> Choice {
+        let rank = rank_of(request.priority);
+        let lane = Lane::of(routing::class_of(request.priority), request.kind);
         let untried = || {
             self.members
                 .iter()
@@ -186,7 +192,7 @@
         }
         let near = untried().filter(|it| it.distance == Distance::Zone && it.usable(now, lane));
         let probes = tried.len() < PROBES_MAX && near.count() > PROBES_MAX;
-        let left = order.goal.since(now);
+        let left = request.goal.since(now);
         let within = |cost: f64, percent: u64| cost <= (left * percent / 100) as f64;
         if let (true, [Some((near, _)), _]) = (probes, best) {
             let own = untried().find(|it| it.endpoint.node == self.own && it.usable(now, lane));
--- a/crates/kernel/src/spread.rs
+++ b/crates/kernel/src/spread.rs
@@ -23,7 +23,7 @@
 use self::{
     catchup::Slots,
     history::{Accepts, History, Refusal},
-    pacing::Bucket,
+    pacing::TokenBucket,
     readiness::Start,
     relay::Relay,
     repair::Repair,
@@ -153,9 +153,9 @@
     slots: Slots,
     reports: Reports,
     /// Byte budget for all messages but catch-ups.
-    control: Bucket,
+    control: TokenBucket,
     /// Byte budget for catch-ups.
-    catchup: Bucket,
+    catchup: TokenBucket,
     stats: Stats,
 }
 
@@ -172,8 +172,8 @@
             proposals: Proposals::default(),
             slots: Slots::new(),
             reports: Reports::default(),
-            control: Bucket::new(settings.spread.budget),
-            catchup: Bucket::new(settings.spread.catchup),
+            control: TokenBucket::new(settings.spread.budget),
+            catchup: TokenBucket::new(settings.spread.catchup),
             stats: Stats::default(),
         }
     }
--- a/crates/kernel/src/spread/pacing.rs
+++ b/crates/kernel/src/spread/pacing.rs
@@ -4,7 +4,7 @@
 
 /// A token bucket that holds a minute's worth of its rate.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// Bytes per second.
     rate: u64,
     /// Thousandths of a byte, so that short times at low rates are not rounded to zero. Negative after
@@ -16,10 +16,10 @@
 /// Time in seconds over which the rate is averaged.
 const AVERAGE_S: u64 = 60;
 
-impl Bucket {
+impl TokenBucket {
     /// Creates a full bucket that refills at `rate` bytes per second.
-    pub fn new(rate: u64) -> Bucket {
-        Bucket {
+    pub fn new(rate: u64) -> TokenBucket {
+        TokenBucket {
             rate,
             level: full(rate),
             refilled: Ms(0),
--- a/crates/kernel/src/spread/relay.rs
+++ b/crates/kernel/src/spread/relay.rs
@@ -314,7 +314,7 @@
     let lag = head.0.saturating_sub(state.log.seq().0);
     match lag {
         0 => {}
-        1..=SNAPSHOT_LAG => state.recovery.follow(cx, &state.log),
+        1..=SNAPSHOT_LAG => state.recovery.start_tail(cx, &state.log),
         _ => state.recovery.start(cx),
     }
 }
--- a/crates/kernel/tests/accept.rs
+++ b/crates/kernel/tests/accept.rs
@@ -12,7 +12,7 @@
 };
 use test_case::test_case;
 
-use driver::{Driver, Mishap, delete, name, put};
+use driver::{CommitOutcome, Driver, delete, name, put};
 
 const ID: SubmitId = SubmitId(1);
 
@@ -46,20 +46,20 @@
 }
 
 // Guards against a change that is lost or applied twice if the table fails a commit and then works again.
-#[test_case(&[Mishap::AnswerLost]; "answer lost after the write")]
-#[test_case(&[Mishap::WriteLost]; "write lost")]
-#[test_case(&[Mishap::WriteLate(3)]; "write arrives after it was reported lost")]
-#[test_case(&[Mishap::WriteLate(60), Mishap::Slow(200)]; "write arrives while it is repeated")]
-#[test_case(&[Mishap::WriteLate(500)]; "write arrives long after it was repeated")]
-#[test_case(&[Mishap::AnswerLost, Mishap::AnswerLost]; "two answers lost")]
-#[test_case(&[Mishap::WriteLost, Mishap::AnswerLost]; "write lost and then answer lost")]
-#[test_case(&[Mishap::Fails(Fault::Unavailable)]; "unavailable")]
-#[test_case(&[Mishap::Fails(Fault::Throttled { after: 700 })]; "throttled")]
-#[test_case(&[Mishap::Slow(3_000)]; "slow")]
-fn transient_fault_ends_in_one_acceptance(mishaps: &[Mishap]) {
+#[test_case(&[CommitOutcome::AnswerLost]; "answer lost after the write")]
+#[test_case(&[CommitOutcome::WriteLost]; "write lost")]
+#[test_case(&[CommitOutcome::WriteLate(3)]; "write arrives after it was reported lost")]
+#[test_case(&[CommitOutcome::WriteLate(60), CommitOutcome::Slow(200)]; "write arrives while it is repeated")]
+#[test_case(&[CommitOutcome::WriteLate(500)]; "write arrives long after it was repeated")]
+#[test_case(&[CommitOutcome::AnswerLost, CommitOutcome::AnswerLost]; "two answers lost")]
+#[test_case(&[CommitOutcome::WriteLost, CommitOutcome::AnswerLost]; "write lost and then answer lost")]
+#[test_case(&[CommitOutcome::Fails(Fault::Unavailable)]; "unavailable")]
+#[test_case(&[CommitOutcome::Fails(Fault::Throttled { after: 700 })]; "throttled")]
+#[test_case(&[CommitOutcome::Slow(3_000)]; "slow")]
+fn transient_fault_ends_in_one_acceptance(outcomes: &[CommitOutcome]) {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
-    driver.mishaps.extend(mishaps.iter().cloned());
+    driver.commit_outcomes.extend(outcomes.iter().cloned());
     assert_eq!(
         submit_all(&mut driver, &[put(1, "desk", 0, &[])]),
         ["accepted"]
@@ -78,14 +78,14 @@
 
 // Guards against a wrong verdict if the table fails a commit and stays down past the deadline: unavailable if
 // nothing was written, unknown if it may have been. A later query and resubmission by id must be correct too.
-#[test_case(Mishap::Fails(Fault::Unavailable), "unavailable", "absent"; "surely not written")]
-#[test_case(Mishap::AnswerLost, "unknown", "accepted"; "written")]
-#[test_case(Mishap::WriteLost, "unknown", "absent"; "not written")]
-#[test_case(Mishap::Slow(9_000), "unknown", "accepted"; "no answer in time")]
-fn outage_verdict_matches_write_outcome(mishap: Mishap, first: &str, later: &str) {
+#[test_case(CommitOutcome::Fails(Fault::Unavailable), "unavailable", "absent"; "surely not written")]
+#[test_case(CommitOutcome::AnswerLost, "unknown", "accepted"; "written")]
+#[test_case(CommitOutcome::WriteLost, "unknown", "absent"; "not written")]
+#[test_case(CommitOutcome::Slow(9_000), "unknown", "accepted"; "no answer in time")]
+fn outage_verdict_matches_write_outcome(outcome: CommitOutcome, first: &str, later: &str) {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
-    driver.mishaps.push_back(mishap);
+    driver.commit_outcomes.push_back(outcome);
     let token = driver.submit(0, &put(1, "desk", 0, &[]));
     driver.run(60);
     driver.down = true;
@@ -193,7 +193,7 @@
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
     driver.session.clear();
-    driver.mishaps.push_back(Mishap::AnswerLost);
+    driver.commit_outcomes.push_back(CommitOutcome::AnswerLost);
     let token = driver.submit(0, &put(1, "desk", 0, &[]));
     driver.run(8_000);
     let mut session = driver.session.clone();
@@ -248,14 +248,14 @@
     driver.run(5_000);
     let (committer, entry) = committer_and_other(&driver);
     driver
-        .deaf
+        .unreachable
         .insert(if forward_lost { committer } else { entry });
     let token = driver.submit(entry, &put(1, "desk", 0, &[]));
     driver.run(1_500);
     assert_eq!(driver.entries().len(), usize::from(!forward_lost));
     driver.run(6_000);
     assert_eq!(kind(&driver.verdict(token)), "accepted");
-    driver.deaf.clear();
+    driver.unreachable.clear();
     driver.run(5_000);
     let again = driver.submit(committer, &put(1, "desk", 0, &[]));
     driver.run(2_000);
@@ -270,7 +270,7 @@
     let mut driver = Driver::new(&["cairo", "cairo"]);
     driver.run(5_000);
     let (committer, entry) = committer_and_other(&driver);
-    driver.deaf.insert(entry);
+    driver.unreachable.insert(entry);
     let token = driver.submit(entry, &put(1, "desk", 0, &[]));
     driver.run(1_500);
     assert_eq!(driver.applied(ID), 1);
@@ -286,10 +286,12 @@
 fn late_write_makes_verdict_unknown() {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
-    driver.mishaps.push_back(Mishap::WriteLate(9_000));
     driver
-        .mishaps
-        .extend(vec![Mishap::Fails(Fault::Unavailable); 300]);
+        .commit_outcomes
+        .push_back(CommitOutcome::WriteLate(9_000));
+    driver
+        .commit_outcomes
+        .extend(vec![CommitOutcome::Fails(Fault::Unavailable); 300]);
     let token = driver.submit(0, &put(1, "desk", 0, &[]));
     driver.run(8_000);
     assert_eq!(driver.verdict(token), Verdict::Unknown { id: ID });
@@ -304,17 +306,19 @@
 fn late_write_makes_refusal_unknown() {
     let mut driver = Driver::new(&["cairo"]);
     driver.run(100);
-    let throttled = Mishap::Fails(Fault::Throttled { after: 10 });
-    driver.mishaps.extend(vec![throttled; 300]);
+    let throttled = CommitOutcome::Fails(Fault::Throttled { after: 10 });
+    driver.commit_outcomes.extend(vec![throttled; 300]);
     driver.submit(0, &put(2, "registry", 0, &[]));
     driver.run(2_900);
     let token = driver.submit(0, &put(1, "desk", 0, &["registry"]));
     driver.run(100);
-    driver.mishaps.clear();
-    driver.mishaps.push_back(Mishap::WriteLate(9_000));
+    driver.commit_outcomes.clear();
+    driver
+        .commit_outcomes
+        .push_back(CommitOutcome::WriteLate(9_000));
     driver
-        .mishaps
-        .extend(vec![Mishap::Fails(Fault::Unavailable); 300]);
+        .commit_outcomes
+        .extend(vec![CommitOutcome::Fails(Fault::Unavailable); 300]);
     driver.run(6_500);
     assert_eq!(driver.verdict(token), Verdict::Unknown { id: ID });
     driver.run(9_000);
@@ -328,7 +332,7 @@
 fn lagging_committer_reads_before_refusal(submission: Submission) {
     let mut driver = Driver::new(&["cairo", "oregon"]);
     driver.run(5_000);
-    driver.deaf = [0, 1].into();
+    driver.unreachable = [0, 1].into();
     let first = driver.submit(0, &put(2, "registry", 0, &[]));
     driver.run(200);
     assert_eq!(kind(&driver.verdict(first)), "accepted");
@@ -347,10 +351,10 @@
         submit_all(&mut driver, &[put(1, "desk", 0, &[])]),
         ["accepted"]
     );
-    driver.deaf = [0, 1].into();
+    driver.unreachable = [0, 1].into();
     driver
-        .mishaps
-        .extend(vec![Mishap::Fails(Fault::Unavailable); 300]);
+        .commit_outcomes
+        .extend(vec![CommitOutcome::Fails(Fault::Unavailable); 300]);
     let late = driver.add("oregon");
     let token = driver.submit(late, &put(1, "desk", 0, &[]));
     driver.run(7_000);
--- a/crates/kernel/tests/common/claims.rs
+++ b/crates/kernel/tests/common/claims.rs
@@ -171,7 +171,7 @@
     pub loss: u64,
     sent: u64,
     /// Number and bytes of messages about crashes and quarantines that each node sent.
-    pub spent: Vec<(u64, u64)>,
+    pub guard_traffic: Vec<(u64, u64)>,
     /// Tokens of all calls, in order.
     pub tokens: Vec<Token>,
 }
@@ -230,7 +230,7 @@
             trace: Vec::new(),
             loss: 0,
             sent: 0,
-            spent: vec![(0, 0); count],
+            guard_traffic: vec![(0, 0); count],
             tokens: Vec::new(),
         };
         for idx in 0..count {
@@ -435,8 +435,8 @@
         self.trace_send(idx, target, &message);
         if let Message::Guard(it) = &message {
             let bytes = postcard::to_stdvec(it).map_or(0, |it| it.len());
-            self.spent[idx].0 += 1;
-            self.spent[idx].1 += bytes as u64;
+            self.guard_traffic[idx].0 += 1;
+            self.guard_traffic[idx].1 += bytes as u64;
             self.sent += 1;
             if self.loss > 0 && self.sent.is_multiple_of(self.loss) {
                 return;
--- a/crates/kernel/tests/common/driver.rs
+++ b/crates/kernel/tests/common/driver.rs
@@ -18,7 +18,7 @@
 
 /// Outcome of a commit of the log.
 #[derive(Clone, Debug)]
-pub enum Mishap {
+pub enum CommitOutcome {
     /// It is carried out.
     Fine,
     /// It is not carried out, and fails with this fault.
@@ -35,7 +35,7 @@
 
 /// How a message is delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Delivery {
     Arrives,
     Lost,
     /// It arrives twice.
@@ -45,7 +45,7 @@
 }
 
 /// A hook that sees, and may change, every message between two kernels before it is sent.
-pub type Tap = Box<dyn FnMut(Ms, usize, usize, &mut Message) -> Fate>;
+pub type Tap = Box<dyn FnMut(Ms, usize, usize, &mut Message) -> Delivery>;
 
 /// Time between two ticks, in ms.
 const TICK: u64 = 50;
@@ -64,13 +64,13 @@
     pub rows: BTreeMap<String, Row>,
     pub objects: BTreeMap<String, Vec<u8>>,
     /// Results of the next commits of the log, in order; later ones are carried out.
-    pub mishaps: VecDeque<Mishap>,
+    pub commit_outcomes: VecDeque<CommitOutcome>,
     /// Whether the table and the object store are unavailable.
     pub down: bool,
     /// Whether the object store alone is unavailable.
     pub objects_down: bool,
     /// Kernels that receive no messages.
-    pub deaf: BTreeSet<usize>,
+    pub unreachable: BTreeSet<usize>,
     /// Kernels that have stopped.
     pub dead: BTreeSet<usize>,
     /// Hook for sent messages; none by default.
@@ -113,10 +113,10 @@
             kernels: Vec::new(),
             rows: BTreeMap::new(),
             objects: BTreeMap::new(),
-            mishaps: VecDeque::new(),
+            commit_outcomes: VecDeque::new(),
             down: false,
             objects_down: false,
-            deaf: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             dead: BTreeSet::new(),
             tap: None,
             checks: None,
@@ -331,16 +331,16 @@
         let receiver = (0..self.kernels.len()).find(|it| node(*it) == to);
         let delivery = match (&mut self.tap, receiver) {
             (Some(tap), Some(receiver)) => tap(self.now, index, receiver, &mut message),
-            _ => Fate::Arrives,
+            _ => Delivery::Arrives,
         };
         let from = node(index);
         let event = Event::Message { from, message };
         match (delivery, receiver) {
-            (Fate::Lost, _) => {}
-            (Fate::Late(millis), Some(it)) if !self.deaf.contains(&it) => {
+            (Delivery::Lost, _) => {}
+            (Delivery::Late(millis), Some(it)) if !self.unreachable.contains(&it) => {
                 self.schedule(DELAY + millis, Due::Event(it, event));
             }
-            (Fate::Doubled, _) => {
+            (Delivery::Doubled, _) => {
                 self.deliver(to, event.clone());
                 self.deliver(to, event);
             }
@@ -350,7 +350,7 @@
 
     fn deliver(&mut self, to: NodeId, event: Event) {
         let index = (0..self.kernels.len()).find(|it| node(*it) == to);
-        if let Some(index) = index.filter(|it| !self.deaf.contains(it)) {
+        if let Some(index) = index.filter(|it| !self.unreachable.contains(it)) {
             self.schedule(DELAY, Due::Event(index, event));
         }
     }
@@ -360,20 +360,20 @@
         let shown = describe_op(op);
         let outcome = match shown {
             Some(_) if self.down => None,
-            Some(_) if matches!(op, TableOp::Commit { .. }) => self.mishaps.pop_front(),
+            Some(_) if matches!(op, TableOp::Commit { .. }) => self.commit_outcomes.pop_front(),
             _ => None,
         };
         let (answer, delay) = match outcome {
             _ if self.down => (TableAnswer::Failed(Fault::Unavailable), self.delay),
-            None | Some(Mishap::Fine) => (self.carry_out(op), self.delay),
-            Some(Mishap::Slow(millis)) => (self.carry_out(op), millis),
-            Some(Mishap::Fails(fault)) => (TableAnswer::Failed(fault), self.delay),
-            Some(Mishap::AnswerLost) => {
+            None | Some(CommitOutcome::Fine) => (self.carry_out(op), self.delay),
+            Some(CommitOutcome::Slow(millis)) => (self.carry_out(op), millis),
+            Some(CommitOutcome::Fails(fault)) => (TableAnswer::Failed(fault), self.delay),
+            Some(CommitOutcome::AnswerLost) => {
                 self.carry_out(op);
                 (TableAnswer::Failed(Fault::Unknown), self.delay)
             }
-            Some(Mishap::WriteLost) => (TableAnswer::Failed(Fault::Unknown), self.delay),
-            Some(Mishap::WriteLate(millis)) => {
+            Some(CommitOutcome::WriteLost) => (TableAnswer::Failed(Fault::Unknown), self.delay),
+            Some(CommitOutcome::WriteLate(millis)) => {
                 self.schedule(millis, Due::Write(op.clone()));
                 (TableAnswer::Failed(Fault::Unknown), self.delay)
             }
--- a/crates/kernel/tests/common/source.rs
+++ b/crates/kernel/tests/common/source.rs
@@ -17,7 +17,7 @@
 };
 
 use super::{
-    driver::{Driver, Fate},
+    driver::{Delivery, Driver},
     imported::{imported_fleet, table},
 };
 
@@ -93,8 +93,8 @@
             *crossed.borrow_mut() += usize::from(import && from % zones != to % zones);
             let lost = lost.borrow();
             match lost.contains(&from) || lost.contains(&to) {
-                true => Fate::Lost,
-                false => Fate::Arrives,
+                true => Delivery::Lost,
+                false => Delivery::Arrives,
             }
         }));
         Fleet {
--- a/crates/kernel/tests/guard.rs
+++ b/crates/kernel/tests/guard.rs
@@ -39,7 +39,10 @@
 fn held(fleet: &Fleet, idx: usize) -> Vec<u64> {
     let view = fleet.kernels[idx].state().guard.quarantined();
     let known = (1..=300).map(Fingerprint);
-    known.filter(|it| view.holds(*it)).map(|it| it.0).collect()
+    known
+        .filter(|it| view.is_held(*it))
+        .map(|it| it.0)
+        .collect()
 }
 
 fn assert_held_everywhere(fleet: &Fleet, expected: &[u64]) {
@@ -95,9 +98,9 @@
     survive(&mut fleet, 1, 1);
     for kernel in &fleet.kernels {
         let view = kernel.state().guard.quarantined();
-        assert!(view.suspects(Fingerprint(CULPRIT)));
-        assert!(!view.suspects(Fingerprint(1)));
-        assert!(!view.suspects(Fingerprint(2)));
+        assert!(view.is_suspect(Fingerprint(CULPRIT)));
+        assert!(!view.is_suspect(Fingerprint(1)));
+        assert!(!view.is_suspect(Fingerprint(2)));
     }
 }
 
@@ -184,7 +187,7 @@
         assert!(guard.crashes() <= guard::CRASHES_MAX);
         let suspects = (1_000..50_000).map(Fingerprint);
         let view = guard.quarantined();
-        let count = suspects.filter(|it| view.suspects(*it)).count();
+        let count = suspects.filter(|it| view.is_suspect(*it)).count();
         assert!(count <= guard::CRASHES_MAX * PRINTS_MAX, "{count}");
     }
 }
--- a/crates/kernel/tests/import.rs
+++ b/crates/kernel/tests/import.rs
@@ -16,7 +16,7 @@
 };
 use test_case::test_case;
 
-use driver::{Driver, Fate, name, node};
+use driver::{Delivery, Driver, name, node};
 use imported::{imported_fleet, table};
 
 const ZONES: [&str; 3] = ["nasr", "maadi", "giza"];
@@ -222,7 +222,7 @@
             seen.0 += 1;
             seen.1 += usize::from(from % 3 != to % 3);
         }
-        Fate::Arrives
+        Delivery::Arrives
     }));
     for index in 0..3 {
         driver.event(index, Event::Source(Source::Held));
@@ -291,7 +291,7 @@
     driver.tap = Some(Box::new(move |_, _, to, message| {
         let is_query = matches!(message, Message::Import(Import::Ask { .. }));
         *seen.borrow_mut() += usize::from(is_query && to == 0);
-        Fate::Arrives
+        Delivery::Arrives
     }));
     driver.run(3_000);
     assert_eq!(*queries.borrow(), 0, "queries to a node that left");
@@ -393,8 +393,8 @@
     }
     driver.run(10_000);
     driver.tap = Some(Box::new(|_, from, to, _| match from == 30 || to == 30 {
-        true => Fate::Lost,
-        false => Fate::Arrives,
+        true => Delivery::Lost,
+        false => Delivery::Arrives,
     }));
     driver.run(2_500);
     let turn = driver.kernels[30].state().import.turn();
--- a/crates/kernel/tests/link.rs
+++ b/crates/kernel/tests/link.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use laburnum_kernel::{
-    admission::link::{LinkGate, SMALL},
+    admission::link::{LinkGate, UNGATED_MAX_BYTES},
     refusal::Reason,
 };
 use rand::{Rng, SeedableRng};
@@ -28,7 +28,7 @@
     while link.enter(60_000, 2_000).is_ok() {}
     let refusal = link.enter(60_000, 2_000).expect_err("it is full");
     assert_eq!(refusal.reason, Reason::LinkFull);
-    let arrived = (refusal.after as f64 * RATE) as u64 + SMALL;
+    let arrived = (refusal.after as f64 * RATE) as u64 + UNGATED_MAX_BYTES;
     link.leave(arrived);
     assert_eq!(link.enter(60_000, 2_000), Ok(()));
 }
--- a/crates/kernel/tests/log.rs
+++ b/crates/kernel/tests/log.rs
@@ -17,7 +17,7 @@
 };
 use test_case::test_case;
 
-use driver::{Driver, Mishap, delete, name, put};
+use driver::{CommitOutcome, Driver, delete, name, put};
 
 /// A document with a schema that this build does not support.
 const NEWER: &str = "schema = 2\nservice = \"b\"\nshape = { kind = \"mesh\" }\n";
@@ -261,7 +261,7 @@
         "the newest snapshot and the one before"
     );
     prepare(&mut driver);
-    driver.deaf = BTreeSet::from([0, 1]);
+    driver.unreachable = BTreeSet::from([0, 1]);
     let (reads, polls) = (driver.reads, driver.polls);
     let started = driver.add("cairo");
     driver.run(6_000);
@@ -282,7 +282,7 @@
     Put(usize, u8, u8, bool),
     Delete(usize, u8),
     Again(usize, usize),
-    Mishap(u8),
+    Commit(u8),
     Outage(u64),
     Wait(u64),
 }
@@ -292,19 +292,19 @@
         6 => (0..2_usize, 0..4_u8, 0..4_u8, any::<bool>()).prop_map(|it| Step::Put(it.0, it.1, it.2, it.3)),
         2 => (0..2_usize, 0..4_u8).prop_map(|it| Step::Delete(it.0, it.1)),
         2 => (0..2_usize, 0..40_usize).prop_map(|it| Step::Again(it.0, it.1)),
-        3 => (0..5_u8).prop_map(Step::Mishap),
+        3 => (0..5_u8).prop_map(Step::Commit),
         1 => (0..3_000_u64).prop_map(Step::Outage),
         4 => (0..400_u64).prop_map(Step::Wait),
     ]
 }
 
-fn mishap(kind: u8) -> Mishap {
+fn commit_outcome(kind: u8) -> CommitOutcome {
     match kind {
-        0 => Mishap::AnswerLost,
-        1 => Mishap::WriteLost,
-        2 => Mishap::WriteLate(40),
-        3 => Mishap::WriteLate(900),
-        _ => Mishap::Slow(700),
+        0 => CommitOutcome::AnswerLost,
+        1 => CommitOutcome::WriteLost,
+        2 => CommitOutcome::WriteLate(40),
+        3 => CommitOutcome::WriteLate(900),
+        _ => CommitOutcome::Slow(700),
     }
 }
 
@@ -340,7 +340,7 @@
                     tokens.push(driver.submit(index, submission));
                 }
             }
-            Step::Mishap(kind) => driver.mishaps.push_back(mishap(kind)),
+            Step::Commit(kind) => driver.commit_outcomes.push_back(commit_outcome(kind)),
             Step::Outage(millis) => {
                 driver.down = true;
                 driver.run(millis);
--- a/crates/kernel/tests/once_session.rs
+++ b/crates/kernel/tests/once_session.rs
@@ -70,7 +70,7 @@
     fleet.run(500);
     for (idx, kernel) in fleet.kernels.iter().enumerate() {
         let view = kernel.state().guard.quarantined();
-        let (filing, read) = (view.holds(Fingerprint(1)), view.holds(Fingerprint(77)));
+        let (filing, read) = (view.is_held(Fingerprint(1)), view.is_held(Fingerprint(77)));
         fleet.trace.push(format!(
             "-- node {idx} refuses the filing: {filing}, the read: {read}"
         ));
--- a/crates/kernel/tests/placement.rs
+++ b/crates/kernel/tests/placement.rs
@@ -6,7 +6,7 @@
     Ms, NodeId,
     admission::{
         kinds::Kind,
-        ranks::{Order, Outlook, Queue, RANKS},
+        ranks::{Outlook, RANKS, RankedRequest, WaitLimit},
     },
     document::Class,
     members::{Phase, Reach},
@@ -57,12 +57,12 @@
     placement
 }
 
-fn order(now: Ms) -> Order {
-    Order {
+fn order(now: Ms) -> RankedRequest {
+    RankedRequest {
         priority: 2,
         goal: now + 200,
         deadline: now + 1_200,
-        queue: Queue::Full,
+        queue: WaitLimit::Full,
         kind: Kind::default(),
     }
 }
@@ -104,7 +104,7 @@
 #[test]
 fn refusal_of_one_kind_does_not_hold_others() {
     let (petition, call) = (Kind(7), Kind(8));
-    let order = |kind| Order { kind, ..order(NOW) };
+    let order = |kind| RankedRequest { kind, ..order(NOW) };
     let mut placement = placement();
     let refusal = Refusal::after(Reason::Overloaded, 300);
     for number in 1..=3 {
--- a/crates/kernel/tests/placement_fleet.rs
+++ b/crates/kernel/tests/placement_fleet.rs
@@ -7,7 +7,7 @@
     admission::{
         Finish, Offer, Permit, Ticket, Wake,
         kinds::Kind,
-        ranks::{Order, Outlook, Queue, Ranks},
+        ranks::{Outlook, RankedRequest, Ranks, WaitLimit},
     },
     document::Class,
     members::{Phase, Reach},
@@ -153,12 +153,12 @@
         self.send(request);
     }
 
-    fn order(request: &Request) -> Order {
-        Order {
+    fn order(request: &Request) -> RankedRequest {
+        RankedRequest {
             priority: 2,
             goal: request.arrived + GOAL_MS,
             deadline: request.arrived + DEADLINE_MS,
-            queue: Queue::Full,
+            queue: WaitLimit::Full,
             kind: Kind::default(),
         }
     }
@@ -169,7 +169,7 @@
         let to = match entry.place(self.now, &mut self.rng, order, &request.tried) {
             Choice::Send(to) => to,
             Choice::Probe(to) => {
-                order.queue = Queue::Short;
+                order.queue = WaitLimit::Short;
                 to
             }
             Choice::Refuse(_) => return,
--- a/crates/kernel/tests/ranks.rs
+++ b/crates/kernel/tests/ranks.rs
@@ -5,7 +5,7 @@
     admission::{
         Finish, Offer, Permit, Ticket, Wake,
         kinds::Kind,
-        ranks::{Order, Outlook, Queue, RANKS, Ranks, STARVATION_MS},
+        ranks::{Outlook, RANKS, RankedRequest, Ranks, STARVATION_MS, WaitLimit},
     },
     members::Phase,
     refusal::{Reason, Refusal},
@@ -22,12 +22,12 @@
     ranks
 }
 
-fn order(now: Ms, priority: u8, goal: u64, deadline: u64) -> Order {
-    Order {
+fn order(now: Ms, priority: u8, goal: u64, deadline: u64) -> RankedRequest {
+    RankedRequest {
         priority,
         goal: now + goal,
         deadline: now + deadline,
-        queue: Queue::Full,
+        queue: WaitLimit::Full,
         kind: Kind::default(),
     }
 }
@@ -109,8 +109,8 @@
 /// Guards against probes that queue behind others of their rank; an urgent probe may wait for the next free slot.
 #[test]
 fn probe_waits_only_for_the_next_free_slot() {
-    let probe = |priority| Order {
-        queue: Queue::Short,
+    let probe = |priority| RankedRequest {
+        queue: WaitLimit::Short,
         ..order(NOW, priority, 300, 2_000)
     };
     let mut ranks = ranks(6);
@@ -210,7 +210,7 @@
                 continue;
             }
             tallies[index].asked += 1;
-            let order = Order {
+            let order = RankedRequest {
                 kind: Kind(index as u32 + 1),
                 ..order(now, class.priority, class.goal, class.deadline)
             };
@@ -375,7 +375,7 @@
 fn kinds_above_the_maximum_replace_idle_ones() {
     let mut ranks = ranks(100);
     let offer = |ranks: &mut Ranks, kind: u32| {
-        let order = Order {
+        let order = RankedRequest {
             kind: Kind(kind),
             ..order(NOW, 1, 500, 2_000)
         };
--- a/crates/kernel/tests/restore.rs
+++ b/crates/kernel/tests/restore.rs
@@ -9,7 +9,7 @@
     Event, Message, Settings, members::CONTACT_PREFIX, platform::Era, settings::Origin,
 };
 
-use driver::{Driver, Fate, name, node};
+use driver::{Delivery, Driver, name, node};
 
 const NODES: usize = 20;
 
@@ -46,7 +46,7 @@
     let counter = messages.clone();
     driver.tap = Some(Box::new(move |_, _, _, message| {
         *counter.borrow_mut() += usize::from(matches!(message, Message::Restore(_)));
-        Fate::Arrives
+        Delivery::Arrives
     }));
     driver.event(4, Event::Era(Era(2)));
     driver.run(500);
--- a/crates/kernel/tests/spread.rs
+++ b/crates/kernel/tests/spread.rs
@@ -17,48 +17,48 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-use driver::{Fate, Tap, node, put};
+use driver::{Delivery, Tap, node, put};
 use fleet::{ZONES, accept, converge, digests, fleet, newest, ready, seqs};
 
-/// Returns a tap that applies `fate` to pushes only. `fate` gets the number of pushes before.
-fn on_push(mut fate: impl FnMut(usize, usize, &mut wire::Range) -> Fate + 'static) -> Tap {
+/// Returns a tap that applies `delivery` to pushes only. `delivery` gets the number of pushes before.
+fn on_push(mut delivery: impl FnMut(usize, usize, &mut wire::Range) -> Delivery + 'static) -> Tap {
     let mut count = 0;
     Box::new(move |_, from, _, message| match message {
         Message::Spread(Spread::Push { range, .. }) => {
             count += 1;
-            fate(count - 1, from, range)
+            delivery(count - 1, from, range)
         }
-        _ => Fate::Arrives,
+        _ => Delivery::Arrives,
     })
 }
 
 fn no_fault() -> Tap {
-    on_push(|_, _, _| Fate::Arrives)
+    on_push(|_, _, _| Delivery::Arrives)
 }
 
 fn every_third_lost() -> Tap {
     on_push(|count, _, _| match count % 3 {
-        0 => Fate::Lost,
-        _ => Fate::Arrives,
+        0 => Delivery::Lost,
+        _ => Delivery::Arrives,
     })
 }
 
 fn all_lost() -> Tap {
-    on_push(|_, _, _| Fate::Lost)
+    on_push(|_, _, _| Delivery::Lost)
 }
 
 fn doubled() -> Tap {
-    on_push(|_, _, _| Fate::Doubled)
+    on_push(|_, _, _| Delivery::Doubled)
 }
 
 fn reordered() -> Tap {
-    on_push(|count, _, _| Fate::Late(700 * (3 - count as u64 % 4)))
+    on_push(|count, _, _| Delivery::Late(700 * (3 - count as u64 % 4)))
 }
 
 fn wrong_digest() -> Tap {
     on_push(|count, _, range| {
         range.digest ^= u64::from(count % 2 == 0);
-        Fate::Arrives
+        Delivery::Arrives
     })
 }
 
@@ -71,7 +71,7 @@
             }
         }
         range.body = wire::pack(&changes);
-        Fate::Arrives
+        Delivery::Arrives
     })
 }
 
@@ -80,7 +80,7 @@
         range
             .body
             .truncate(range.body.len() - usize::from(count % 3 != 0));
-        Fate::Arrives
+        Delivery::Arrives
     })
 }
 
@@ -179,7 +179,7 @@
             let bytes = postcard::to_stdvec(message).expect("encodes").len() as u64;
             *seen.borrow_mut().entry((from, now.0 / 60_000)).or_default() += bytes;
         }
-        Fate::Arrives
+        Delivery::Arrives
     }));
     let mut seq = Seq(0);
     for id in 1..=100 {
@@ -224,13 +224,13 @@
     let start = driver.now;
     driver.tap = Some(Box::new(move |now, from, to, message| {
         let Message::Spread(message) = message else {
-            return Fate::Arrives;
+            return Delivery::Arrives;
         };
         let millis = now.since(start);
         let line = format!("{millis:>6} ms  {from:2} -> {to:2}  {}", show(message));
         let pulls = matches!(message, Spread::Pull { .. });
         if pulls || *victim.borrow() == Some(from) {
-            return Fate::Lost;
+            return Delivery::Lost;
         }
         if let Spread::Push { root, .. } = message
             && *root == node(from)
@@ -243,7 +243,7 @@
         if !matches!(message, Spread::Compare { .. } | Spread::Report { .. }) {
             lines.borrow_mut().push(line);
         }
-        Fate::Arrives
+        Delivery::Arrives
     }));
     let token = driver.submit(4, &put(1, "a", 0, &[]));
     for _ in 0..100 {
@@ -321,7 +321,7 @@
 #[test_case(100, 6_000, 100, false; "empty")]
 #[test_case(100, 5_900, 100, true; "just enough")]
 fn bucket_allows(rate: u64, spent: usize, bytes: usize, allowed: bool) {
-    let mut bucket = spread::pacing::Bucket::new(rate);
+    let mut bucket = spread::pacing::TokenBucket::new(rate);
     bucket.spend(Ms(1_000), spent);
     assert_eq!(bucket.allows(Ms(1_000), bytes), allowed);
     assert!(
--- a/crates/kernel/tests/spread_repair.rs
+++ b/crates/kernel/tests/spread_repair.rs
@@ -20,7 +20,7 @@
 };
 use proptest::prelude::*;
 
-use driver::{Driver, Fate, document, node, put};
+use driver::{Delivery, Driver, document, node, put};
 use fleet::{accept, converge, digests, fleet, newest, ready, seqs};
 
 fn status(driver: &mut Driver, index: usize) -> Status {
@@ -81,7 +81,7 @@
     let mut driver = fleet(12, &SpreadSettings::default());
     accept(&mut driver, 4, &put(1, "a", 0, &[]));
     driver.run(8_000);
-    driver.deaf.insert(7);
+    driver.unreachable.insert(7);
     let mut seq = Seq(0);
     for id in 2..32 {
         let base = newest(&driver, "a");
@@ -96,9 +96,9 @@
             let changes = wire::unpack(&range.body).expect("a body that was packed");
             seen.borrow_mut().push(changes.len());
         }
-        Fate::Arrives
+        Delivery::Arrives
     }));
-    driver.deaf.clear();
+    driver.unreachable.clear();
     converge(&mut driver, seq, 8_000);
     assert_eq!(*fills.borrow(), vec![1]);
 }
@@ -139,7 +139,7 @@
         let bytes = postcard::to_stdvec(message).expect("encodes").len();
         let mut seen = seen.borrow_mut();
         *seen = bytes.max(*seen);
-        Fate::Arrives
+        Delivery::Arrives
     }));
     (0..15).for_each(|it| driver.restart(it));
     for _ in 0..900 {
@@ -186,7 +186,7 @@
             let bytes = postcard::to_stdvec(message).expect("encodes").len() as u64;
             *sums.borrow_mut().entry(from).or_insert(0) += bytes;
         }
-        Fate::Arrives
+        Delivery::Arrives
     }));
     driver.restart(0);
     driver.run(10_000);
@@ -226,7 +226,7 @@
         !state.spread.stats().relay && committer(state, region) != Some(node(*it))
     };
     let victim = (0..9).find(fits).expect("two of three are relays");
-    driver.deaf.insert(victim);
+    driver.unreachable.insert(victim);
     let seq = accept(&mut driver, (victim + 1) % 9, &put(1, "a", 0, &[]));
     driver.run(8_000);
     let mut other = driver.entries().remove(0).batch;
@@ -244,7 +244,7 @@
     driver.event(victim, Event::Message { from, message });
     assert_eq!(driver.kernels[victim].state().log.seq(), seq);
     assert_eq!(digests(&driver).len(), 2);
-    driver.deaf.clear();
+    driver.unreachable.clear();
     driver.run(20_000);
     assert_eq!(digests(&driver).len(), 1);
 }
@@ -261,13 +261,13 @@
     assert_eq!((it.nodes, it.reported), (12, 12));
     // A leaf of the report tree, so that no other report is lost with its own.
     let leaf = 11;
-    driver.deaf.insert(leaf);
+    driver.unreachable.insert(leaf);
     let seq = accept(&mut driver, 4, &put(2, "b", 0, &[]));
     driver.run(6_000);
     let it = status(&mut driver, 5);
     assert!(!it.everywhere, "{it:?}");
     assert_eq!(it.behind, vec![(node(leaf), Seq(seq.0 - 1))]);
-    driver.deaf.clear();
+    driver.unreachable.clear();
     converge(&mut driver, seq, 8_000);
     driver.run(6_000);
     let it = status(&mut driver, 5);
@@ -278,13 +278,13 @@
 // step back meanwhile.
 #[test]
 fn nodes_converge_after_any_faults() {
-    let fate = prop_oneof![
-        4 => Just(Fate::Arrives),
-        2 => Just(Fate::Lost),
-        1 => Just(Fate::Doubled),
-        1 => (0..3_000u64).prop_map(Fate::Late),
+    let delivery = prop_oneof![
+        4 => Just(Delivery::Arrives),
+        2 => Just(Delivery::Lost),
+        1 => Just(Delivery::Doubled),
+        1 => (0..3_000u64).prop_map(Delivery::Late),
     ];
-    let fates = prop::collection::vec(fate, 16..64);
+    let deliveries = prop::collection::vec(delivery, 16..64);
     let steps = prop::collection::vec((0..9usize, 0..4u8, 0..1_500u64, any::<bool>()), 1..12);
     let config = ProptestConfig {
         cases: 24,
@@ -292,15 +292,15 @@
         rng_seed: prop::test_runner::RngSeed::Fixed(11),
         ..ProptestConfig::default()
     };
-    proptest!(config, |(fates in fates, steps in steps)| {
+    proptest!(config, |(deliveries in deliveries, steps in steps)| {
         let mut driver = fleet(9, &SpreadSettings::default());
         let mut count = 0;
         driver.tap = Some(Box::new(move |_, _, _, message| {
             let Message::Spread(_) = message else {
-                return Fate::Arrives;
+                return Delivery::Arrives;
             };
             count += 1;
-            fates[count % fates.len()]
+            deliveries[count % deliveries.len()]
         }));
         for (id, (index, service, wait, restart)) in steps.into_iter().enumerate() {
             let service = format!("s{service}");
--- a/crates/node/src/traffic/entry.rs
+++ b/crates/node/src/traffic/entry.rs
@@ -14,7 +14,7 @@
 use hyper::body::Incoming;
 use laburnum_kernel::{
     Ms, NodeId,
-    admission::ranks::Queue,
+    admission::ranks::WaitLimit,
     document::Repeat,
     pick::{Choice, Outcome},
     refusal::{Reason, Refusal},
@@ -212,15 +212,15 @@
                 state.chooser.choose(now, plan.class, plan.order(), &tried)
             };
             let (endpoint, queue) = match choice {
-                Choice::Send(endpoint) => (endpoint, Queue::Full),
-                Choice::Probe(endpoint) => (endpoint, Queue::Short),
+                Choice::Send(endpoint) => (endpoint, WaitLimit::Full),
+                Choice::Probe(endpoint) => (endpoint, WaitLimit::Short),
                 Choice::Refuse(refusal) => return Err(Denial::Refused(refusal)),
             };
             tried.push(endpoint.node);
             trace.tried.push(endpoint.node);
             let tree = retry.attempt();
             let mut request = self.build_request(plan, &payload, tree, number);
-            if queue == Queue::Short {
+            if queue == WaitLimit::Short {
                 request.headers_mut().insert(QUEUE, SHORT);
             }
             let before = std::mem::replace(prior, PriorOutcome::Unknown);
--- a/crates/node/src/traffic/gate.rs
+++ b/crates/node/src/traffic/gate.rs
@@ -10,7 +10,7 @@
     Ms,
     admission::{
         Admission, AdmissionSettings, Finish, Offer, Permit, Request, Ticket, Wake,
-        ranks::{Order, Ranks},
+        ranks::{RankedRequest, Ranks},
     },
     document::Class,
     members::Phase,
@@ -52,7 +52,7 @@
     /// Traffic class.
     pub class: Class,
     /// Priority, latency goal and deadline.
-    pub order: Order,
+    pub order: RankedRequest,
 }
 
 /// State of the upstream that admission depends on.
@@ -147,7 +147,7 @@
     }
 
     /// Checks whether a request with `order` would be admitted now. Always `Ok` with submitted documents.
-    pub fn check(&self, order: Order) -> Result<(), Refusal> {
+    pub fn check(&self, order: RankedRequest) -> Result<(), Refusal> {
         match &mut self.lock().policy {
             Policy::Shares(_) => Ok(()),
             Policy::Ranks(it) => it.check(self.clock.now(), order),
--- a/crates/node/src/traffic/owner.rs
+++ b/crates/node/src/traffic/owner.rs
@@ -19,11 +19,11 @@
     admission::{
         Finish,
         kinds::Kind,
-        ranks::{Order, Queue, rank_of},
+        ranks::{RankedRequest, WaitLimit, rank_of},
     },
     document::{Class, Repeat},
     guard::Fingerprint,
-    health::Sign,
+    health::Observation,
     members::Phase,
     refusal::{Reason, Refusal},
     retry::{Deadline, Tree},
@@ -69,7 +69,7 @@
     deadline: Deadline,
     tree: Tree,
     /// Priority and latency goal, if the route sets them.
-    order: Option<Order>,
+    order: Option<RankedRequest>,
     repeat: Repeat,
 }
 
@@ -85,7 +85,7 @@
     pub(super) upstream: Arc<ActiveUpstream>,
     pub(super) class: Class,
     /// Priority and latency goal; the lowest priority and the deadline if the route sets none.
-    pub(super) order: Order,
+    pub(super) order: RankedRequest,
     pub(super) repeat: Repeat,
     pub(super) deadline: Deadline,
     /// Maximum length of the answer's body, in bytes.
@@ -275,7 +275,7 @@
             "",
             &payload.digest(),
         );
-        if view.quarantined.holds(fingerprint) {
+        if view.quarantined.is_held(fingerprint) {
             return Err(Denial::Refused(Refusal::new(Reason::Quarantined)));
         }
         let uri = path.parse().unwrap_or_default();
@@ -294,11 +294,11 @@
         Ok(Job {
             upstream,
             class,
-            order: params.order.unwrap_or(Order {
+            order: params.order.unwrap_or(RankedRequest {
                 priority: u8::MAX,
                 goal: deadline.at(),
                 deadline: deadline.at(),
-                queue: Queue::Full,
+                queue: WaitLimit::Full,
                 kind: Kind::default(),
             }),
             repeat,
@@ -317,7 +317,7 @@
     fn reserve_link(
         &self,
         body: &Body,
-        order: Option<Order>,
+        order: Option<RankedRequest>,
     ) -> Result<Option<Reservation>, Denial> {
         let Some(order) = order.filter(|_| room::is_large(body)) else {
             return Ok(None);
@@ -378,13 +378,13 @@
                 service,
                 deadline: Deadline::after(now, left),
                 tree,
-                order: priority.zip(goal).map(|(priority, goal)| Order {
+                order: priority.zip(goal).map(|(priority, goal)| RankedRequest {
                     priority: u8::try_from(priority).unwrap_or(u8::MAX),
                     goal: now + goal,
                     deadline: now + left,
                     queue: match headers.get(QUEUE) {
-                        Some(it) if *it == SHORT => Queue::Short,
-                        _ => Queue::Full,
+                        Some(it) if *it == SHORT => WaitLimit::Short,
+                        _ => WaitLimit::Full,
                     },
                     kind: Kind(
                         kind.and_then(|it| u32::try_from(it).ok())
@@ -480,7 +480,7 @@
     /// Waits for the permit to run if the request is suspected of a crash. Suspects run one at a time, so that
     /// a second crash identifies the cause.
     async fn suspect_permit(&self, job: &Job, limit: Instant) -> Result<Option<Suspect>, Denial> {
-        if !self.view().quarantined.suspects(job.fingerprint) {
+        if !self.view().quarantined.is_suspect(job.fingerprint) {
             return Ok(None);
         }
         let suspects = self.0.suspects.clone();
@@ -549,7 +549,7 @@
         match fault {
             Unavailable::Refused => {
                 slot.finish(Finish::Failed);
-                self.0.upstream.observe(Sign::Refused);
+                self.0.upstream.observe(Observation::Refused);
                 self.0.upstream.request_poll();
                 not_ready()
             }
--- a/crates/node/src/traffic/plan.rs
+++ b/crates/node/src/traffic/plan.rs
@@ -11,7 +11,7 @@
     Ms, Name,
     admission::{
         kinds::Kind,
-        ranks::{Order, Queue},
+        ranks::{RankedRequest, WaitLimit},
     },
     document::{self, Class, Document, Repeat},
     hot::Verdict,
@@ -222,12 +222,12 @@
 
 impl Plan {
     /// Returns the request's priority, goal and deadline for the admission queue.
-    pub(super) fn order(&self) -> Order {
-        Order {
+    pub(super) fn order(&self) -> RankedRequest {
+        RankedRequest {
             priority: self.priority.unwrap_or_default(),
             goal: self.goal,
             deadline: self.deadline.at(),
-            queue: Queue::Full,
+            queue: WaitLimit::Full,
             kind: self.kind,
         }
     }
--- a/crates/node/src/traffic/room.rs
+++ b/crates/node/src/traffic/room.rs
@@ -5,7 +5,7 @@
 use axum::body::Body;
 use http_body::Body as _;
 use laburnum_kernel::{
-    admission::link::{LinkGate, SMALL, UNKNOWN},
+    admission::link::{LinkGate, UNGATED_MAX_BYTES, UNKNOWN_LENGTH_BYTES},
     refusal::Refusal,
 };
 
@@ -50,9 +50,9 @@
 /// Returns whether `body` is so long that a host with a slow link must not read it before its request is
 /// admitted.
 pub fn is_large(body: &Body) -> bool {
-    length(body) > SMALL
+    length(body) > UNGATED_MAX_BYTES
 }
 
 fn length(body: &Body) -> u64 {
-    body.size_hint().exact().unwrap_or(UNKNOWN)
+    body.size_hint().exact().unwrap_or(UNKNOWN_LENGTH_BYTES)
 }
--- a/crates/node/src/traffic/services.rs
+++ b/crates/node/src/traffic/services.rs
@@ -11,7 +11,7 @@
     admission::{
         Load,
         kinds::Kind,
-        ranks::{Order, Outlook},
+        ranks::{Outlook, RankedRequest},
     },
     document::Class,
     pick::{Choice, Lane, Outcome, Picker, Place, placement::Placement},
@@ -76,7 +76,7 @@
 
 impl Chooser {
     /// Chooses an endpoint for a request of `class` and `order` that has already failed at `tried`.
-    pub fn choose(&self, now: Ms, class: Class, order: Order, tried: &[NodeId]) -> Choice {
+    pub fn choose(&self, now: Ms, class: Class, order: RankedRequest, tried: &[NodeId]) -> Choice {
         match self {
             Chooser::Picker(it) => it.pick(now, &mut rand::rng(), class, tried),
             Chooser::Placement(it) => it.place(now, &mut rand::rng(), order, tried),
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -18,7 +18,7 @@
     Call, Event, Ms, Name,
     event::UpstreamEvent,
     guard::{self, Fingerprint},
-    health::{Health, Sign},
+    health::{Health, Observation},
     instance::{Instances, Start, Verdict},
     members::Phase,
 };
@@ -274,7 +274,7 @@
                 && active.instance == instance
         });
         let event = match same {
-            true => self.update_health(now, Sign::Report(it.phase)),
+            true => self.update_health(now, Observation::Report(it.phase)),
             false => {
                 *lock(&shared.health) = Some(Health::new(now, it.phase));
                 Some(event_of(it.phase))
@@ -335,14 +335,14 @@
         lock(&self.0.running).fingerprints.len()
     }
 
-    /// Applies a sign of the upstream's health.
-    pub fn observe(&self, sign: Sign) {
+    /// Applies an observation of the upstream's health.
+    pub fn observe(&self, observation: Observation) {
         let now = self.0.clock.now();
-        let Some(event) = self.update_health(now, sign) else {
+        let Some(event) = self.update_health(now, observation) else {
             return;
         };
         let pairs = [
-            ("sign", format!("{sign:?}").to_lowercase()),
+            ("sign", format!("{observation:?}").to_lowercase()),
             ("became", format!("{event:?}").to_lowercase()),
         ];
         logs::event("upstream", &pairs);
@@ -360,7 +360,7 @@
         let last = Ms(self.0.last_answer.load(Ordering::Relaxed));
         if now.since(last) >= SERVED_INTERVAL {
             self.0.last_answer.store(now.0, Ordering::Relaxed);
-            self.observe(Sign::Served);
+            self.observe(Observation::Served);
         }
     }
 
@@ -404,8 +404,8 @@
         });
     }
 
-    fn update_health(&self, now: Ms, sign: Sign) -> Option<UpstreamEvent> {
-        lock(&self.0.health).as_mut()?.observe(now, sign)
+    fn update_health(&self, now: Ms, observation: Observation) -> Option<UpstreamEvent> {
+        lock(&self.0.health).as_mut()?.observe(now, observation)
     }
 
     /// Handles a dead upstream: the requests that were in flight are suspected of having crashed it.
@@ -442,7 +442,7 @@
     async fn check(&self, active: &ActiveUpstream) {
         if self.0.polling == Polling::Never {
             if let Err(Unavailable::Refused) = active.pool.open_unpooled().await {
-                self.observe(Sign::Refused);
+                self.observe(Observation::Refused);
                 self.report_crash();
             }
             return;
@@ -451,11 +451,11 @@
         match polled {
             Ok(PollResult::Report(report)) => self.apply_report(active, &report),
             Ok(PollResult::Refused) => {
-                self.observe(Sign::Refused);
+                self.observe(Observation::Refused);
                 self.report_crash();
             }
-            Ok(PollResult::Unclear) => self.observe(Sign::Unclear),
-            Ok(PollResult::Late) | Err(_) => self.observe(Sign::Late),
+            Ok(PollResult::Unclear) => self.observe(Observation::Unclear),
+            Ok(PollResult::Late) | Err(_) => self.observe(Observation::Late),
         }
     }
 
@@ -474,7 +474,7 @@
             };
             let _ = self.0.control.tell(Event::Upstream(announced));
         }
-        self.observe(Sign::Report(match report.phase {
+        self.observe(Observation::Report(match report.phase {
             ReportedPhase::Warming => Phase::Warming,
             ReportedPhase::Ready => Phase::Ready,
             ReportedPhase::Draining => Phase::Draining,
@@ -498,7 +498,7 @@
         running.lost.push((now, self.fingerprint));
         drop(running);
         if self.upstream.0.polling == Polling::Steady {
-            self.upstream.observe(Sign::Lost);
+            self.upstream.observe(Observation::Lost);
         }
         self.upstream.request_poll();
     }
--- a/crates/node/tests/promises.rs
+++ b/crates/node/tests/promises.rs
@@ -11,7 +11,7 @@
 use laburnum_edge::{Clock, Platform, platform::Answer};
 use laburnum_kernel::{
     Call, Reply,
-    drain::{FAREWELL_MS, NOTICE_MS},
+    drain::{LEAVE_SPREAD_MS, NOTICE_MS},
     guard,
     members::Phase,
     platform::{Fault, ObjectAnswer, ObjectOp, TableAnswer, TableOp},
@@ -139,7 +139,7 @@
     until(|| fake.seen().len() == 1).await;
     let owner = cluster.nodes.remove(1);
     let closing = spawn(owner.node.close());
-    tokio::time::sleep(Duration::from_millis(NOTICE_MS + FAREWELL_MS + 500)).await;
+    tokio::time::sleep(Duration::from_millis(NOTICE_MS + LEAVE_SPREAD_MS + 500)).await;
     fake.release();
     let got = filing.await.expect("an answer");
     assert_eq!(got.field("laburnum-outcome"), "ran");
--- a/crates/node/tests/upstream_faults.rs
+++ b/crates/node/tests/upstream_faults.rs
@@ -290,7 +290,7 @@
     let digest = blake3::hash(b"poison");
     let service = "desk".parse().expect("a name");
     let print = Fingerprint::of(&service, "POST", "/filings", "", digest.as_bytes());
-    let held = |it: &common::Running| it.node.control().view().quarantined.holds(print);
+    let held = |it: &common::Running| it.node.control().view().quarantined.is_held(print);
     until(|| cluster.nodes.iter().all(held)).await;
     let refused = file("new".to_owned(), "poison").await;
     assert_eq!(refused.field("laburnum-outcome"), "not-run");
