--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -25,7 +25,7 @@
     auth::{Guard, Peer, Unauthorized},
     control::Control,
     metrics::Metrics,
-    traffic::serve::Line,
+    traffic::serve::ConnectionPeer,
     upstream::Upstream,
 };
 
@@ -123,11 +123,11 @@
     let peer = request.extensions().get::<Peer>().copied();
     match guard.admit(request.uri().path(), request.headers(), peer) {
         Ok(()) => {
-            Line::admit(&request);
+            ConnectionPeer::admit(&request);
             next.run(request).await
         }
         Err(Unauthorized) => {
-            Line::refuse(&request);
+            ConnectionPeer::refuse(&request);
             Refusal::Unauthorized.into_response()
         }
     }
--- a/crates/node/src/cli/table.rs
+++ b/crates/node/src/cli/table.rs
@@ -4,29 +4,29 @@
 use laburnum_flags::{Exit, List, Program, Setting};
 use laburnum_kernel::Name;
 
-use super::value::{Announced, BoundedInt, Listen, Preset};
+use super::value::{BoundedInt, HostAddress, ListenAddress, Preset};
 
 const DAY_MS: u64 = 24 * 3_600 * 1_000;
 
-pub const CALLER: Setting<Listen> = Setting::new(
+pub const CALLER: Setting<ListenAddress> = Setting::new(
     "--caller",
     "ADDRESS",
     "IP address and port where callers send requests.",
 )
 .default("127.0.0.1:7100");
-pub const CONTROL: Setting<Announced> = Setting::new(
+pub const CONTROL: Setting<HostAddress> = Setting::new(
     "--control",
     "ADDRESS",
     "IP address and port of control traffic over TCP and UDP; told to every node, and the node's identity.",
 )
 .default("127.0.0.1:7101");
-pub const TRAFFIC: Setting<Announced> = Setting::new(
+pub const TRAFFIC: Setting<HostAddress> = Setting::new(
     "--traffic",
     "ADDRESS",
     "IP address and port where other nodes send requests; told to every node.",
 )
 .default("127.0.0.1:7102");
-pub const ADMIN: Setting<Listen> = Setting::new(
+pub const ADMIN: Setting<ListenAddress> = Setting::new(
     "--admin",
     "ADDRESS",
     "IP address and port where operators and the upstream beside the node call.",
@@ -36,13 +36,13 @@
     Setting::new("--region", "NAME", "Region of the host.").default("local");
 pub const ZONE: Setting<Name> =
     Setting::new("--zone", "NAME", "Availability zone of the host.").default("local-a");
-pub const PEERS: Setting<List<Announced>> = Setting::new(
+pub const PEERS: Setting<List<HostAddress>> = Setting::new(
     "--peers",
     "ADDRESS,...",
     "Control addresses of the nodes to contact first; two or three in different zones are enough.",
 )
 .default("");
-pub const PLATFORM: Setting<Announced> = Setting::new(
+pub const PLATFORM: Setting<HostAddress> = Setting::new(
     "--platform",
     "ADDRESS",
     "IP address and port of the platform's table and object store; without it they are kept in memory and end with the process.",
--- a/crates/node/src/cli/value.rs
+++ b/crates/node/src/cli/value.rs
@@ -40,11 +40,11 @@
 
 /// An address that the node listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Listen(pub SocketAddr);
+pub struct ListenAddress(pub SocketAddr);
 
 /// An address that processes connect to: the address of one host, not a wildcard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Announced(pub SocketAddr);
+pub struct HostAddress(pub SocketAddr);
 
 /// The text is not an address that the node can use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -62,27 +62,27 @@
     Unreachable,
 }
 
-impl FromStr for Listen {
+impl FromStr for ListenAddress {
     type Err = BadAddress;
 
-    fn from_str(text: &str) -> Result<Listen, BadAddress> {
+    fn from_str(text: &str) -> Result<ListenAddress, BadAddress> {
         let address: SocketAddr = text.parse().map_err(|_| BadAddress::Syntax)?;
         match address.port() {
             0 => Err(BadAddress::Port),
-            _ => Ok(Listen(address)),
+            _ => Ok(ListenAddress(address)),
         }
     }
 }
 
-impl FromStr for Announced {
+impl FromStr for HostAddress {
     type Err = BadAddress;
 
-    fn from_str(text: &str) -> Result<Announced, BadAddress> {
-        let Listen(address) = text.parse()?;
+    fn from_str(text: &str) -> Result<HostAddress, BadAddress> {
+        let ListenAddress(address) = text.parse()?;
         let ip = address.ip().to_canonical();
         match ip.is_unspecified() || ip.is_multicast() {
             true => Err(BadAddress::Unreachable),
-            false => Ok(Announced(address)),
+            false => Ok(HostAddress(address)),
         }
     }
 }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -97,17 +97,17 @@
     }
 
     /// Sends an event to the kernel.
-    pub fn tell(&self, event: Event) -> Result<(), Closed> {
+    pub fn send_event(&self, event: Event) -> Result<(), Closed> {
         self.push(Command::Event(event))
     }
 
     /// Waits until the external source is to be checked for a newer version.
-    pub async fn check_wanted(&self) {
+    pub async fn check_requested(&self) {
         self.checks.notified().await;
     }
 
     /// Waits until this node may have started or stopped being a watcher of the external source.
-    pub async fn turn_changed(&self) {
+    pub async fn watcher_changed(&self) {
         self.turns.notified().await;
     }
 
@@ -335,17 +335,17 @@
                 self.runtime.spawn(async move {
                     let answer = platform.table(op).await;
                     // The era must arrive before the answer that belongs to it.
-                    let _ = platform.era().map(|it| control.tell(Event::Era(it)));
+                    let _ = platform.era().map(|it| control.send_event(Event::Era(it)));
                     // A closed control thread no longer waits for the answer.
-                    let _ = control.tell(Event::Table { call, answer });
+                    let _ = control.send_event(Event::Table { call, answer });
                 });
             }
             Action::Object { call, op } => {
                 let (platform, control) = (self.platform.clone(), self.control.clone());
                 self.runtime.spawn(async move {
                     let answer = platform.object(op).await;
-                    let _ = platform.era().map(|it| control.tell(Event::Era(it)));
-                    let _ = control.tell(Event::Object { call, answer });
+                    let _ = platform.era().map(|it| control.send_event(Event::Era(it)));
+                    let _ = control.send_event(Event::Object { call, answer });
                 });
             }
             Action::Reply { token, reply } => {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -260,7 +260,7 @@
         let notice = self.notice.min(self.linger);
         sleep(self.linger - notice).await;
         // A closed control thread has already stopped.
-        let _ = self.control.control().tell(Event::Stop);
+        let _ = self.control.control().send_event(Event::Stop);
         self.traffic.drain();
         sleep(notice).await;
         // Requests at the upstream may call other services through this node, so callers are served until the
@@ -275,7 +275,7 @@
         let _ = timeout_at(end, upstream_idle(&self.traffic)).await;
         // The kernel notifies the other nodes. Until then an entry gets a refusal from this node instead of a
         // closed port, which would cost it a retry per request.
-        let _ = self.control.control().tell(Event::Idle);
+        let _ = self.control.control().send_event(Event::Idle);
         let _ = timeout_at(end, control_exited(&self.control)).await;
         let _ = timeout_at(end, self.nodes.close()).await;
         self.control.close();
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -64,7 +64,7 @@
 use proof::{Proofs, Unproven};
 use report::RequestLog;
 use room::LinkBudget;
-use serve::Line;
+use serve::ConnectionPeer;
 use services::Services;
 
 /// The request path of one node; cheap to clone.
@@ -238,7 +238,7 @@
             async move {
                 match traffic.0.proofs.check(&request) {
                     Ok(()) => {
-                        Line::admit(&request);
+                        ConnectionPeer::admit(&request);
                         Ok(traffic.handle_forwarded(request.map(Body::new)).await)
                     }
                     Err(unproven) => Ok(traffic.reject(&request, unproven, peer)),
@@ -256,7 +256,7 @@
         peer: SocketAddr,
     ) -> Response<Body> {
         self.0.faults.count(unproven.kind(), Some(peer));
-        Line::refuse(request);
+        ConnectionPeer::refuse(request);
         let mut response = Denial::from(unproven).response();
         if let Some(number) = request.headers().get(REQUEST) {
             response.headers_mut().insert(REQUEST, number.clone());
--- a/crates/node/src/traffic/dialect.rs
+++ b/crates/node/src/traffic/dialect.rs
@@ -32,7 +32,7 @@
     /// it.
     pub expected: HeaderName,
     /// From upstreams: present on the answer to a request that was not run.
-    pub unrun: HeaderName,
+    pub not_run: HeaderName,
 }
 
 impl Dialect {
@@ -57,7 +57,7 @@
         match self {
             Dialect::Own => headers.get(OUTCOME) == Some(&NOT_RUN),
             Dialect::Foreign(it) => {
-                status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key(&it.unrun)
+                status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key(&it.not_run)
             }
         }
     }
--- a/crates/node/src/traffic/serve.rs
+++ b/crates/node/src/traffic/serve.rs
@@ -220,14 +220,14 @@
     {
         // Disables Nagle's algorithm, which only adds latency here.
         let _ = stream.set_nodelay(true);
-        let line = Line::default();
+        let peer = ConnectionPeer::default();
         let open = Arc::new(self.open);
         let service = service_fn({
-            let (line, open) = (line.clone(), open.clone());
+            let (peer, open) = (peer.clone(), open.clone());
             move |mut request: Request<Incoming>| {
                 let active = open.begin_request();
-                line.0.has_request.store(true, Ordering::Relaxed);
-                request.extensions_mut().insert(line.clone());
+                peer.0.has_request.store(true, Ordering::Relaxed);
+                request.extensions_mut().insert(peer.clone());
                 let answer = service.clone().oneshot(request);
                 async move {
                     let answer = answer.await;
@@ -257,16 +257,16 @@
                 }
                 () = header_timeout.as_mut(), if timeout_armed => {
                     timeout_armed = false;
-                    if !line.0.has_request.load(Ordering::Relaxed) {
+                    if !peer.0.has_request.load(Ordering::Relaxed) {
                         self.faults.count("slow-header", Some(self.peer));
                         break;
                     }
-                    if refused && !line.0.admitted.load(Ordering::Relaxed) {
+                    if refused && !peer.0.admitted.load(Ordering::Relaxed) {
                         self.faults.count("refused-lingers", Some(self.peer));
                         break;
                     }
                 }
-                () = line.0.refused.notified(), if !refused => {
+                () = peer.0.refused.notified(), if !refused => {
                     refused = true;
                     timeout_armed = true;
                     header_timeout.as_mut().reset(Instant::now() + self.header_time);
@@ -312,7 +312,7 @@
 /// after a timeout if no request on it was ever admitted, so that unauthenticated peers cannot occupy the
 /// places of other nodes.
 #[derive(Clone, Debug, Default)]
-pub struct Line(Arc<PeerFlags>);
+pub struct ConnectionPeer(Arc<PeerFlags>);
 
 #[derive(Debug, Default)]
 struct PeerFlags {
@@ -321,17 +321,17 @@
     refused: Notify,
 }
 
-impl Line {
+impl ConnectionPeer {
     /// Records that a request on the connection was authenticated.
     pub fn admit<B>(request: &Request<B>) {
-        if let Some(Line(it)) = request.extensions().get() {
+        if let Some(ConnectionPeer(it)) = request.extensions().get() {
             it.admitted.store(true, Ordering::Relaxed);
         }
     }
 
     /// Closes the connection once its requests in progress are answered.
     pub fn refuse<B>(request: &Request<B>) {
-        if let Some(Line(it)) = request.extensions().get() {
+        if let Some(ConnectionPeer(it)) = request.extensions().get() {
             it.refused.notify_one();
         }
     }
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -295,9 +295,9 @@
             service: it.service,
             slots: it.slots,
         };
-        shared.control.tell(Event::Upstream(announced))?;
+        shared.control.send_event(Event::Upstream(announced))?;
         match event {
-            Some(event) => shared.control.tell(Event::Upstream(event)),
+            Some(event) => shared.control.send_event(Event::Upstream(event)),
             None => Ok(()),
         }
     }
@@ -309,7 +309,9 @@
         self.0
             .saved
             .send_if_modified(|saved| saved.take().is_some());
-        self.0.control.tell(Event::Upstream(UpstreamEvent::Gone))
+        self.0
+            .control
+            .send_event(Event::Upstream(UpstreamEvent::Gone))
     }
 
     /// Returns the announced upstream, if any.
@@ -351,7 +353,7 @@
             *lock(&self.0.health) = None;
         }
         // A closed control thread needs no update.
-        let _ = self.0.control.tell(Event::Upstream(event));
+        let _ = self.0.control.send_event(Event::Upstream(event));
     }
 
     /// Counts an answer as a sign of life.
@@ -472,7 +474,7 @@
                 service: active.service.clone(),
                 slots,
             };
-            let _ = self.0.control.tell(Event::Upstream(announced));
+            let _ = self.0.control.send_event(Event::Upstream(announced));
         }
         self.observe(Observation::Report(match report.phase {
             ReportedPhase::Warming => Phase::Warming,
--- a/crates/node/tests/path.rs
+++ b/crates/node/tests/path.rs
@@ -121,7 +121,7 @@
 
     entry
         .control()
-        .tell(Event::Upstream(UpstreamEvent::Gone))
+        .send_event(Event::Upstream(UpstreamEvent::Gone))
         .expect("running");
     upstream.close();
     entry.close().await;
