--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -275,7 +275,7 @@
 /// Records a fault if `checked` is an error.
 fn add_fault(row: &Row, text: &str, checked: Result<(), BadSubmission>, faults: &mut Faults) {
     if let Err(error) = checked {
-        faults.0.push(Fault::bad(row, text, &error.to_string()));
+        faults.0.push(Fault::invalid(row, text, &error.to_string()));
     }
 }
 
@@ -285,7 +285,7 @@
         let why = format!("out of bounds 1 to {AUDIT_MAX}");
         faults
             .0
-            .push(Fault::bad(&LIMIT.row(), &limit.to_string(), &why));
+            .push(Fault::invalid(&LIMIT.row(), &limit.to_string(), &why));
     }
     Range {
         after: Seq(values.get(&AFTER)),
--- a/crates/flags/src/fault.rs
+++ b/crates/flags/src/fault.rs
@@ -61,7 +61,7 @@
 
 impl Fault {
     /// Returns the fault of a value `text` that parses as the type of `row` but that the program rejects.
-    pub fn bad(row: &Row, text: &str, why: &str) -> Fault {
+    pub fn invalid(row: &Row, text: &str, why: &str) -> Fault {
         Fault::InvalidValue {
             flag: row.flag,
             variable: row.variable(),
--- a/crates/flags/src/program.rs
+++ b/crates/flags/src/program.rs
@@ -192,7 +192,7 @@
         match (row.check)(&text) {
             Ok(()) => Ok(Some(text)),
             // The parser's message may quote a secret.
-            Err(why) => Err(Fault::bad(row, &text, row.show(&why))),
+            Err(why) => Err(Fault::invalid(row, &text, row.show(&why))),
         }
     }
 
--- a/crates/flags/tests/flags.rs
+++ b/crates/flags/tests/flags.rs
@@ -137,7 +137,7 @@
 
 #[test]
 fn rejected_values_read_like_unparsable_ones() {
-    let fault = Fault::bad(&ZONE.row(), "b", "no such zone in the region");
+    let fault = Fault::invalid(&ZONE.row(), "b", "no such zone in the region");
     assert_eq!(
         fault.to_string(),
         r#"--zone (LABURNUM_ZONE): "b" is not valid: no such zone in the region; give NAME"#
--- a/crates/node/src/cli/check.rs
+++ b/crates/node/src/cli/check.rs
@@ -42,7 +42,7 @@
             return None;
         }
         let why = format!("{} listens there too: choose another port", earlier.0.flag);
-        Some(Fault::bad(&later.0, &second.to_string(), &why))
+        Some(Fault::invalid(&later.0, &second.to_string(), &why))
     });
     faults.collect()
 }
@@ -57,16 +57,17 @@
 fn check_peers(values: &Values, own: &[OwnAddress; 4]) -> Vec<Fault> {
     let peers = values.find(&PEERS).map_or_else(Vec::new, |it| it.0);
     let peers: Vec<SocketAddr> = peers.into_iter().map(|it| it.0).collect();
-    let bad = |peer: &SocketAddr, why: &str| Fault::bad(&PEERS.row(), &peer.to_string(), why);
+    let invalid =
+        |peer: &SocketAddr, why: &str| Fault::invalid(&PEERS.row(), &peer.to_string(), why);
     let mut faults = Vec::new();
     for (idx, peer) in peers.iter().enumerate() {
         let same = own.iter().find(|it| it.1 == Some(*peer));
         if let Some((row, _)) = same {
             let why = format!("this node's own {}: name other nodes", row.flag);
-            faults.push(bad(peer, &why));
+            faults.push(invalid(peer, &why));
         }
         if peers[..idx].contains(peer) {
-            faults.push(bad(peer, "named twice: keep one"));
+            faults.push(invalid(peer, "named twice: keep one"));
         }
     }
     let Some(control) = values.find(&CONTROL) else {
@@ -77,7 +78,7 @@
         && ip(control.0).is_loopback()
     {
         let why = format!("{peer} of --peers cannot reach loopback: name this host's IP address");
-        faults.push(Fault::bad(&CONTROL.row(), &control.0.to_string(), &why));
+        faults.push(Fault::invalid(&CONTROL.row(), &control.0.to_string(), &why));
     }
     faults
 }
@@ -90,7 +91,7 @@
     }
     let why =
         "other nodes reach --control and not this loopback address: name this host's IP address";
-    Some(Fault::bad(&TRAFFIC.row(), &traffic.to_string(), why))
+    Some(Fault::invalid(&TRAFFIC.row(), &traffic.to_string(), why))
 }
 
 /// Requires that the platform is not one of the node's own sockets, and that a fleet shares one.
@@ -105,14 +106,14 @@
         let peers = values.find(&PEERS).is_some_and(|it| !it.0.is_empty());
         let why = "the nodes of a fleet must share one: name its address";
         return match remote && peers {
-            true => vec![Fault::bad(&row, "", why)],
+            true => vec![Fault::invalid(&row, "", why)],
             false => Vec::new(),
         };
     };
     let same = own.iter().filter(|it| it.1 == Some(platform.0));
     let faults = same.map(|(own, _)| {
         let why = format!("this node's own {}: name the platform's", own.flag);
-        Fault::bad(&row, &platform.0.to_string(), &why)
+        Fault::invalid(&row, &platform.0.to_string(), &why)
     });
     faults.collect()
 }
@@ -126,14 +127,14 @@
     let remedy = "the public key is no secret, so it is for a loopback --control only: make a key with: openssl rand -hex 32";
     // An invalid key already has a fault of its own.
     if remote && key == Some(Key::PUBLIC) {
-        faults.push(Fault::bad(&LINK_KEY.row(), "", remedy));
+        faults.push(Fault::invalid(&LINK_KEY.row(), "", remedy));
     }
     if remote && also == Some(Key::PUBLIC) {
-        faults.push(Fault::bad(&LINK_KEY_ALSO.row(), "", remedy));
+        faults.push(Fault::invalid(&LINK_KEY_ALSO.row(), "", remedy));
     }
     if also.is_some() && also == key {
         let why = "the same as --link-key: leave it out, or give the key that is rotated in or out";
-        faults.push(Fault::bad(&LINK_KEY_ALSO.row(), "", why));
+        faults.push(Fault::invalid(&LINK_KEY_ALSO.row(), "", why));
     }
     faults
 }
@@ -147,7 +148,7 @@
     }
     let why =
         "operators need a token off loopback: set --admin-key, made with: openssl rand -hex 32";
-    Some(Fault::bad(&ADMIN.row(), &admin.to_string(), why))
+    Some(Fault::invalid(&ADMIN.row(), &admin.to_string(), why))
 }
 
 fn ip(address: SocketAddr) -> IpAddr {
