--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -9,7 +9,7 @@
     time::{Duration, Instant},
 };
 
-use laburnum_edge::{Clock, Memory};
+use laburnum_edge::{Clock, MemoryPlatform};
 use laburnum_kernel::{
     Call, Name, Reply, Revision, Seq, SubmitId, View,
     accept::{self, Submission, Verdict},
@@ -22,7 +22,7 @@
     node::StartError,
 };
 use laburnum_standin::{
-    Faulty, Upstream,
+    FaultyPlatform, Upstream,
     faults::{Faults, Outage},
     upstream::UpstreamSettings,
 };
@@ -79,7 +79,7 @@
 /// A running fleet; needs a multi-threaded tokio runtime.
 pub struct Fleet {
     places: Vec<Place>,
-    platform: Faulty,
+    platform: FaultyPlatform,
     clock: Clock,
 }
 
@@ -123,7 +123,7 @@
     /// Starts every node; does not wait until they have joined each other.
     pub async fn start(layout: &Layout) -> Result<Fleet, FleetError> {
         let clock = Clock::system();
-        let platform = Faulty::new(Arc::new(Memory::default()), clock.clone(), 1);
+        let platform = FaultyPlatform::new(Arc::new(MemoryPlatform::default()), clock.clone(), 1);
         platform.set(layout.faults);
         let mut fleet = Fleet {
             places: Vec::new(),
@@ -148,7 +148,7 @@
     }
 
     /// Returns the platform that every node uses.
-    pub fn platform(&self) -> &Faulty {
+    pub fn platform(&self) -> &FaultyPlatform {
         &self.platform
     }
 
--- a/crates/bench/src/load/breaker.rs
+++ b/crates/bench/src/load/breaker.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use laburnum_standin::{Behaviour, Faults, Faulty, Outage, Share};
+use laburnum_standin::{Behaviour, Faults, FaultyPlatform, Outage, Share};
 use tokio::time::{Instant, sleep_until};
 
 use super::{case::Case, preset::Preset, site::Group};
@@ -13,7 +13,7 @@
     /// Upstreams by service.
     pub groups: &'a [Group],
     /// Table and object store.
-    pub platform: Option<&'a Faulty>,
+    pub platform: Option<&'a FaultyPlatform>,
 }
 
 /// Interval of the fault schedule.
--- a/crates/bench/src/load/site.rs
+++ b/crates/bench/src/load/site.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use laburnum_kernel::{Name, Revision, SubmitId, View, members::Phase};
-use laburnum_standin::{Faults, Faulty, Ledger, Upstream, UpstreamSettings};
+use laburnum_standin::{Faults, FaultyPlatform, Ledger, Upstream, UpstreamSettings};
 
 use super::{
     case::ServiceTime,
@@ -126,7 +126,7 @@
     }
 
     /// Returns the platform, for fault injection.
-    pub fn platform(&self) -> &Faulty {
+    pub fn platform(&self) -> &FaultyPlatform {
         self.fleet.platform()
     }
 
--- a/crates/bench/src/metered.rs
+++ b/crates/bench/src/metered.rs
@@ -5,16 +5,16 @@
     atomic::{AtomicU64, Ordering},
 };
 
-use laburnum_edge::{Platform, platform::Answer};
+use laburnum_edge::{Platform, platform::AnswerFuture};
 use laburnum_kernel::platform::{ObjectAnswer, ObjectOp, Row, TableAnswer, TableOp, Write};
-use laburnum_standin::Faulty;
+use laburnum_standin::FaultyPlatform;
 
 /// The platform of one node with byte counters.
 ///
 /// Counts keys, values and object contents, both ways, without the overhead of HTTP.
 #[derive(Clone, Debug)]
 pub struct Metered {
-    inner: Faulty,
+    inner: FaultyPlatform,
     counts: Arc<Counts>,
 }
 
@@ -34,7 +34,7 @@
 
 impl Metered {
     /// Wraps `inner` with counters at zero.
-    pub fn new(inner: Faulty) -> Metered {
+    pub fn new(inner: FaultyPlatform) -> Metered {
         Metered {
             inner,
             counts: Arc::default(),
@@ -61,7 +61,7 @@
 }
 
 impl Platform for Metered {
-    fn table(&self, op: TableOp) -> Answer<'_, TableAnswer> {
+    fn table(&self, op: TableOp) -> AnswerFuture<'_, TableAnswer> {
         Box::pin(async move {
             let kind = match op {
                 TableOp::Get { .. } | TableOp::Scan { .. } => Kind::Read,
@@ -74,7 +74,7 @@
         })
     }
 
-    fn object(&self, op: ObjectOp) -> Answer<'_, ObjectAnswer> {
+    fn object(&self, op: ObjectOp) -> AnswerFuture<'_, ObjectAnswer> {
         Box::pin(async move {
             let (kind, bytes) = match &op {
                 ObjectOp::Put { name, bytes } => (Kind::Write, name.len() + bytes.len()),
--- a/crates/bench/src/watch.rs
+++ b/crates/bench/src/watch.rs
@@ -8,7 +8,7 @@
 
 use laburnum_kernel::{Seq, View};
 use laburnum_node::control::Control;
-use laburnum_standin::Faulty;
+use laburnum_standin::FaultyPlatform;
 use tokio::task::JoinHandle;
 
 /// Poll interval, in ms.
@@ -56,7 +56,7 @@
 
 impl Watch {
     /// Starts a monitor of these nodes, given in the order of their places.
-    pub fn start(controls: impl Iterator<Item = Control>, platform: Faulty) -> Watch {
+    pub fn start(controls: impl Iterator<Item = Control>, platform: FaultyPlatform) -> Watch {
         let nodes = controls.map(|control| Watched {
             control,
             process_seq: Seq::default(),
@@ -110,7 +110,7 @@
 }
 
 impl State {
-    fn poll(&mut self, platform: &Faulty) {
+    fn poll(&mut self, platform: &FaultyPlatform) {
         for node in &mut self.nodes {
             node.poll(&mut self.findings);
         }
--- a/crates/ctl/tests/session.rs
+++ b/crates/ctl/tests/session.rs
@@ -5,7 +5,7 @@
 use std::{fmt::Write, net::SocketAddr, sync::Arc};
 
 use jiff::Timestamp;
-use laburnum_edge::{Clock, LinkError, Memory, Token};
+use laburnum_edge::{Clock, LinkError, MemoryPlatform, Token};
 use laburnum_node::{Config, Node, node::StartError};
 use serde_json::Value;
 use support::ctl;
@@ -39,7 +39,7 @@
                 admin_keys: admin_keys.clone(),
                 ..Config::default()
             };
-            let platform = Arc::new(Memory::default());
+            let platform = Arc::new(MemoryPlatform::default());
             // A concurrent test may bind a port first; then retry with other ports.
             match Node::start(config.clone(), Clock::system(), platform).await {
                 Ok(node) => {
--- a/crates/edge/src/http.rs
+++ b/crates/edge/src/http.rs
@@ -21,7 +21,7 @@
         BytesBody, CommitBody, DoneBody, Effect, ErrorBody, GetBody, NameBody, ObjectBody,
         RowsBody, ScanBody,
     },
-    platform::{Answer, Platform},
+    platform::{AnswerFuture, Platform},
 };
 
 pub mod wire;
@@ -40,7 +40,7 @@
     /// Maximum number of calls that wait until they may be sent. Default: 256.
     pub queue: usize,
     /// Maximum length of one answer in bytes. Default: 16 MiB.
-    pub answer: usize,
+    pub answer_max: usize,
 }
 
 impl Default for HttpSettings {
@@ -51,7 +51,7 @@
             timeout: 2_000,
             concurrency: 16,
             queue: 256,
-            answer: 16 * 1024 * 1024,
+            answer_max: 16 * 1024 * 1024,
         }
     }
 }
@@ -233,9 +233,9 @@
                     false => access.lost_answer(),
                 })?;
         let (parts, body) = response.into_parts();
-        let body = Limited::new(body, self.settings.answer).collect().await;
+        let body = Limited::new(body, self.settings.answer_max).collect().await;
         let body = body.map_err(|error| match (access, error.is::<LengthLimitError>()) {
-            (Access::Read, true) => answer_too_long(self.settings.answer),
+            (Access::Read, true) => answer_too_long(self.settings.answer_max),
             _ => access.lost_answer(),
         })?;
         Ok(Received {
@@ -258,7 +258,7 @@
 }
 
 impl Platform for HttpPlatform {
-    fn table(&self, op: TableOp) -> Answer<'_, TableAnswer> {
+    fn table(&self, op: TableOp) -> AnswerFuture<'_, TableAnswer> {
         Box::pin(async move {
             let answer = match op {
                 TableOp::Get { keys } => self.get(keys).await,
@@ -283,7 +283,7 @@
         })
     }
 
-    fn object(&self, op: ObjectOp) -> Answer<'_, ObjectAnswer> {
+    fn object(&self, op: ObjectOp) -> AnswerFuture<'_, ObjectAnswer> {
         Box::pin(async move {
             let answer = self.object_op(op).await;
             answer.unwrap_or_else(ObjectAnswer::Failed)
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -13,7 +13,7 @@
     clock::Clock,
     http::{HttpPlatform, HttpSettings},
     link::{Incoming, Link, LinkError},
-    memory::Memory,
+    memory::MemoryPlatform,
     platform::Platform,
     token::Token,
 };
--- a/crates/edge/src/link/key.rs
+++ b/crates/edge/src/link/key.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns whether `given` is the tag of `parts` under any key in force. Compares in constant time.
-    pub fn fits<'a>(
+    pub fn matches<'a>(
         &self,
         parts: impl IntoIterator<Item = &'a [u8]> + Clone,
         given: &blake3::Hash,
--- a/crates/edge/src/memory.rs
+++ b/crates/edge/src/memory.rs
@@ -10,11 +10,11 @@
     COMMIT_MAX, Check, Fault, ObjectAnswer, ObjectOp, Row, TableAnswer, TableOp, VALUE_MAX, Write,
 };
 
-use crate::platform::{Answer, Platform};
+use crate::platform::{AnswerFuture, Platform};
 
 /// A platform that keeps its table and objects in memory.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct MemoryPlatform {
     store: Mutex<Store>,
 }
 
@@ -26,7 +26,7 @@
     objects: BTreeMap<String, Vec<u8>>,
 }
 
-impl Memory {
+impl MemoryPlatform {
     /// Executes one operation on the table synchronously.
     pub fn table_now(&self, op: &TableOp) -> TableAnswer {
         let mut store = self.lock();
@@ -146,12 +146,12 @@
     }
 }
 
-impl Platform for Memory {
-    fn table(&self, op: TableOp) -> Answer<'_, TableAnswer> {
+impl Platform for MemoryPlatform {
+    fn table(&self, op: TableOp) -> AnswerFuture<'_, TableAnswer> {
         Box::pin(async move { self.table_now(&op) })
     }
 
-    fn object(&self, op: ObjectOp) -> Answer<'_, ObjectAnswer> {
+    fn object(&self, op: ObjectOp) -> AnswerFuture<'_, ObjectAnswer> {
         Box::pin(async move { self.object_now(op) })
     }
 }
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -5,7 +5,7 @@
 use laburnum_kernel::platform::{Era, ObjectAnswer, ObjectOp, TableAnswer, TableOp};
 
 /// The future of an answer from the platform.
-pub type Answer<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+pub type AnswerFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// The platform's transactional table and its object store.
 ///
@@ -13,10 +13,10 @@
 /// [`laburnum_kernel::platform::Fault`].
 pub trait Platform: Send + Sync + 'static {
     /// Executes one operation on the table.
-    fn table(&self, op: TableOp) -> Answer<'_, TableAnswer>;
+    fn table(&self, op: TableOp) -> AnswerFuture<'_, TableAnswer>;
 
     /// Executes one operation on the object store.
-    fn object(&self, op: ObjectOp) -> Answer<'_, ObjectAnswer>;
+    fn object(&self, op: ObjectOp) -> AnswerFuture<'_, ObjectAnswer>;
 
     /// Returns the era of the newest answer; `None` before the first answer, and for platforms that do not report
     /// an era.
--- a/crates/edge/src/token.rs
+++ b/crates/edge/src/token.rs
@@ -35,7 +35,7 @@
     /// Returns whether an `authorization` field carries this token.
     ///
     /// Compares hashes in constant time, so that the response time reveals nothing about a guessed token.
-    pub fn fits(&self, authorization: &HeaderValue) -> bool {
+    pub fn matches(&self, authorization: &HeaderValue) -> bool {
         let given = authorization.as_bytes();
         let Some((scheme, given)) = given.split_at_checked(SCHEME.len()) else {
             return false;
--- a/crates/kernel/tests/common/chaos.rs
+++ b/crates/kernel/tests/common/chaos.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
-use laburnum_edge::Memory;
+use laburnum_edge::MemoryPlatform;
 use laburnum_kernel::{
     Action, Call, Event, Kernel, Ms, Name, NodeId, Reply, Settings, SubmitId, Token, View,
     accept::{self, Submission, Verdict},
@@ -92,7 +92,7 @@
     now: Ms,
     start: Ms,
     nodes: Vec<Node>,
-    table: Memory,
+    table: MemoryPlatform,
     faults: Vec<FaultWindow>,
     due: BTreeMap<(Ms, u64), Due>,
     count: u64,
@@ -124,7 +124,7 @@
             now: start,
             start,
             nodes: ZONES.iter().map(|_| Node::default()).collect(),
-            table: Memory::default(),
+            table: MemoryPlatform::default(),
             faults,
             due: BTreeMap::new(),
             count: 0,
--- a/crates/kernel/tests/common/mod.rs
+++ b/crates/kernel/tests/common/mod.rs
@@ -10,7 +10,7 @@
     net::SocketAddr,
 };
 
-use laburnum_edge::Memory;
+use laburnum_edge::MemoryPlatform;
 use laburnum_kernel::{Action, Event, Kernel, Ms, NodeId, Settings, members::Packet};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -35,7 +35,7 @@
     pub nodes: BTreeMap<NodeId, Kernel>,
     pub logs: Vec<(Ms, NodeId, &'static str, String)>,
     pub exited: BTreeSet<NodeId>,
-    pub table: Memory,
+    pub table: MemoryPlatform,
     pub bytes: BTreeMap<NodeId, u64>,
     pub duplicate: u32,
     pub delay: u64,
@@ -74,7 +74,7 @@
             nodes: BTreeMap::new(),
             logs: Vec::new(),
             exited: BTreeSet::new(),
-            table: Memory::default(),
+            table: MemoryPlatform::default(),
             bytes: BTreeMap::new(),
             duplicate: 0,
             delay: 2,
--- a/crates/kernel/tests/common/promises.rs
+++ b/crates/kernel/tests/common/promises.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use laburnum_edge::Memory;
+use laburnum_edge::MemoryPlatform;
 use laburnum_kernel::{
     Kernel, Ms, Name, Revision, Seq, SubmitId, View,
     accept::{Entry, Verdict, rows},
@@ -49,7 +49,7 @@
 
     /// Checks that the log in the table only grows, and holds no submission twice and none that was
     /// denied.
-    pub fn check_log(&mut self, table: &Memory) {
+    pub fn check_log(&mut self, table: &MemoryPlatform) {
         let entries = entries(table);
         assert!(entries.len() >= self.log.len(), "the log became shorter");
         for (idx, entry) in entries.into_iter().enumerate() {
@@ -195,7 +195,7 @@
     }
 
     /// Checks that every accepted change is in the log.
-    pub fn finish(&mut self, table: &Memory) {
+    pub fn finish(&mut self, table: &MemoryPlatform) {
         self.check_log(table);
         for (id, seq) in &self.accepted {
             assert_eq!(self.applied.get(id), Some(seq), "{id:?} is lost");
@@ -203,7 +203,7 @@
     }
 
     /// Commits a document of a newer schema, as a node of a newer build would.
-    pub fn write_newer(&mut self, table: &Memory, now: Ms) {
+    pub fn write_newer(&mut self, table: &MemoryPlatform, now: Ms) {
         let seq = Seq(self.log.len() as u64 + 1);
         let Some(before) = self.log.last() else {
             return;
@@ -249,7 +249,7 @@
     }
 }
 
-fn entries(table: &Memory) -> Vec<Entry> {
+fn entries(table: &MemoryPlatform) -> Vec<Entry> {
     let op = TableOp::Scan {
         prefix: rows::LOG_PREFIX.to_owned(),
         after: String::new(),
--- a/crates/node/examples/added_latency.rs
+++ b/crates/node/examples/added_latency.rs
@@ -14,7 +14,7 @@
 use http_body_util::BodyExt;
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use laburnum_edge::{Clock, Memory};
+use laburnum_edge::{Clock, MemoryPlatform};
 use laburnum_kernel::{
     Call, Revision, SubmitId,
     accept::{self, Submission},
@@ -40,7 +40,7 @@
 #[tokio::main(flavor = "multi_thread", worker_threads = 4)]
 async fn main() {
     let upstream = upstream().await;
-    let platform = Arc::new(Memory::default());
+    let platform = Arc::new(MemoryPlatform::default());
     let (owner, owner_config) = node(Vec::new(), platform.clone(), 17_100).await;
     let (entry, entry_config) = node(vec![owner_config.control], platform, 17_110).await;
     let announcing = tokio::spawn(announce(owner.upstream().clone(), upstream));
@@ -133,7 +133,7 @@
     address
 }
 
-async fn node(peers: Vec<SocketAddr>, platform: Arc<Memory>, port: u16) -> (Node, Config) {
+async fn node(peers: Vec<SocketAddr>, platform: Arc<MemoryPlatform>, port: u16) -> (Node, Config) {
     let at = |offset| SocketAddr::from(([127, 0, 0, 1], port + offset));
     let config = Config {
         caller: at(0),
--- a/crates/node/examples/memory.rs
+++ b/crates/node/examples/memory.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 
-use laburnum_edge::{Clock, Memory};
+use laburnum_edge::{Clock, MemoryPlatform};
 use laburnum_kernel::{
     Call, Reply, Revision, SubmitId,
     accept::{self, Submission, Verdict},
@@ -31,7 +31,7 @@
     let count: usize = numbers.next().unwrap_or(1);
     let documents: usize = numbers.next().unwrap_or(0);
     let (empty_kb, _) = resident();
-    let platform = Arc::new(Memory::default());
+    let platform = Arc::new(MemoryPlatform::default());
     let mut nodes: Vec<Node> = Vec::new();
     let mut first = Vec::new();
     for number in 0..count {
--- a/crates/node/src/auth.rs
+++ b/crates/node/src/auth.rs
@@ -136,8 +136,8 @@
         let Some(value) = values.next().filter(|_| values.next().is_none()) else {
             return false;
         };
-        let fits = self.tokens.iter().map(|it| it.fits(value));
-        fits.fold(false, |any, it| any | it)
+        let matches = self.tokens.iter().map(|it| it.matches(value));
+        matches.fold(false, |any, it| any | it)
     }
 }
 
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -2,7 +2,7 @@
 
 use std::{process::ExitCode, sync::Arc};
 
-use laburnum_edge::{Clock, HttpPlatform, HttpSettings, Memory, Platform};
+use laburnum_edge::{Clock, HttpPlatform, HttpSettings, MemoryPlatform, Platform};
 use laburnum_flags::{Exit, Input};
 use laburnum_node::{
     Config, Node,
@@ -63,7 +63,7 @@
         let why =
             "no --platform: the table and objects are in memory and lost when this process ends";
         logs::event("platform-embedded", &[("why", why.to_owned())]);
-        return Arc::new(Memory::default());
+        return Arc::new(MemoryPlatform::default());
     };
     Arc::new(HttpPlatform::new(HttpSettings {
         address,
--- a/crates/node/src/traffic/proof.rs
+++ b/crates/node/src/traffic/proof.rs
@@ -93,7 +93,7 @@
         }
         match self
             .keys
-            .fits(slices(&covered_parts(request, self.own, step)), &tag)
+            .matches(slices(&covered_parts(request, self.own, step)), &tag)
         {
             true => Ok(()),
             false => Err(Unproven::Tag),
--- a/crates/node/tests/api/faults.rs
+++ b/crates/node/tests/api/faults.rs
@@ -12,9 +12,9 @@
 use futures_core::Stream;
 use http::{Method, Request, StatusCode, header};
 use laburnum_edge::{
-    Memory, Platform,
+    MemoryPlatform, Platform,
     api::{BODY_MAX, VerdictBody},
-    platform::Answer,
+    platform::AnswerFuture,
 };
 use laburnum_kernel::platform::{ObjectAnswer, ObjectOp, TableAnswer, TableOp};
 use laburnum_node::admin::Bounds;
@@ -161,7 +161,7 @@
         max_requests: 1,
         ..Bounds::default()
     };
-    let node = TestNode::start(Arc::new(Memory::default()), bounds).await;
+    let node = TestNode::start(Arc::new(MemoryPlatform::default()), bounds).await;
     let head = "POST /v1/submissions HTTP/1.1\r\nhost: node\r\ncontent-type: application/json\r\n";
     let slow = format!("{head}content-length: 9\r\n\r\n{{");
     let answer = node.send_raw(&slow, "send it at once").await;
@@ -177,7 +177,7 @@
 }
 
 impl Silent {
-    fn wait<T: Send + 'static>(&self, answer: T) -> Answer<'_, T> {
+    fn wait<T: Send + 'static>(&self, answer: T) -> AnswerFuture<'_, T> {
         let (sender, receiver) = oneshot::channel();
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         waiting.push(sender);
@@ -189,11 +189,11 @@
 }
 
 impl Platform for Silent {
-    fn table(&self, _: TableOp) -> Answer<'_, TableAnswer> {
+    fn table(&self, _: TableOp) -> AnswerFuture<'_, TableAnswer> {
         self.wait(TableAnswer::Rows(Vec::new()))
     }
 
-    fn object(&self, _: ObjectOp) -> Answer<'_, ObjectAnswer> {
+    fn object(&self, _: ObjectOp) -> AnswerFuture<'_, ObjectAnswer> {
         self.wait(ObjectAnswer::Absent)
     }
 }
--- a/crates/node/tests/api/support.rs
+++ b/crates/node/tests/api/support.rs
@@ -1,6 +1,6 @@
 //! Starts a node with its HTTP API and sends requests to it.
 
-pub use laburnum_standin::ports::free;
+pub use laburnum_standin::ports::free_address;
 use std::{net::SocketAddr, sync::Arc};
 
 use axum::body::Body;
@@ -11,7 +11,7 @@
     rt::TokioExecutor,
 };
 use laburnum_edge::{
-    Clock, LinkError, Memory, Platform,
+    Clock, LinkError, MemoryPlatform, Platform,
     api::{ErrorBody, SubmitAnswer, VerdictBody},
 };
 use laburnum_node::{
@@ -63,7 +63,7 @@
     }
 
     pub async fn with_defaults() -> TestNode {
-        TestNode::start(Arc::new(Memory::default()), Bounds::default()).await
+        TestNode::start(Arc::new(MemoryPlatform::default()), Bounds::default()).await
     }
 
     pub async fn send_request(
@@ -141,10 +141,10 @@
 pub async fn start_node(platform: Arc<dyn Platform>) -> Node {
     loop {
         let config = Config {
-            caller: free(),
-            control: free(),
-            traffic: free(),
-            admin: free(),
+            caller: free_address(),
+            control: free_address(),
+            traffic: free_address(),
+            admin: free_address(),
             ..Config::default()
         };
         match Node::start(config, Clock::system(), platform.clone()).await {
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
-pub use laburnum_standin::ports::free;
+pub use laburnum_standin::ports::free_address;
 use std::{
     future::Future,
     net::SocketAddr,
@@ -21,7 +21,7 @@
     client::legacy::{Client, connect::HttpConnector},
     rt::TokioExecutor,
 };
-use laburnum_edge::{Clock, Memory};
+use laburnum_edge::{Clock, MemoryPlatform};
 use laburnum_kernel::{
     Call, Reply, Revision, SubmitId,
     accept::{self, Submission, Verdict},
@@ -425,14 +425,14 @@
 
 /// Starts a cluster with the given document.
 pub async fn cluster_of(fakes: &[&Fake], adjust: impl Fn(&mut Config), document: &str) -> Cluster {
-    let platform = Arc::new(Memory::default());
+    let platform = Arc::new(MemoryPlatform::default());
     let mut nodes: Vec<Running> = Vec::new();
     for _ in 0..=fakes.len() {
         let mut config = Config {
-            caller: free(),
-            control: free(),
-            traffic: free(),
-            admin: free(),
+            caller: free_address(),
+            control: free_address(),
+            traffic: free_address(),
+            admin: free_address(),
             peers: nodes.iter().map(|it| it.config.control).collect(),
             grace: 5_000,
             ..Config::default()
--- a/crates/node/tests/path.rs
+++ b/crates/node/tests/path.rs
@@ -1,6 +1,6 @@
 //! End-to-end test over real sockets: a document submitted at one node carries requests through another.
 
-use laburnum_standin::ports::free;
+use laburnum_standin::ports::free_address;
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use axum::body::Body;
@@ -10,7 +10,7 @@
     client::legacy::{Client, connect::HttpConnector},
     rt::TokioExecutor,
 };
-use laburnum_edge::{Clock, Memory};
+use laburnum_edge::{Clock, MemoryPlatform};
 use laburnum_kernel::{
     Call, Event, Reply, Revision, SubmitId,
     accept::{self, Submission, Verdict},
@@ -39,12 +39,12 @@
     panic!("a condition did not come true in {POLLS_MAX} polls");
 }
 
-async fn node(peers: Vec<SocketAddr>, platform: Arc<Memory>) -> (Node, Config) {
+async fn node(peers: Vec<SocketAddr>, platform: Arc<MemoryPlatform>) -> (Node, Config) {
     let config = Config {
-        caller: free(),
-        control: free(),
-        traffic: free(),
-        admin: free(),
+        caller: free_address(),
+        control: free_address(),
+        traffic: free_address(),
+        admin: free_address(),
         peers,
         ..Config::default()
     };
@@ -67,7 +67,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn submitted_document_routes_through_other_node() {
-    let platform = Arc::new(Memory::default());
+    let platform = Arc::new(MemoryPlatform::default());
     let (owner, owner_config) = node(Vec::new(), platform.clone()).await;
     let (entry, entry_config) = node(vec![owner_config.control], platform).await;
     let upstream = Upstream::start(SocketAddr::from(([127, 0, 0, 1], 0)))
--- a/crates/node/tests/promises.rs
+++ b/crates/node/tests/promises.rs
@@ -8,7 +8,7 @@
 use common::{Cluster, Fake, Step, answer, cluster, request, send, spawn, until};
 use http::Request;
 use hyper_util::rt::{TokioExecutor, TokioIo};
-use laburnum_edge::{Clock, Platform, platform::Answer};
+use laburnum_edge::{Clock, Platform, platform::AnswerFuture};
 use laburnum_kernel::{
     Call, Reply,
     drain::{LEAVE_SPREAD_MS, NOTICE_MS},
@@ -23,11 +23,11 @@
 struct UnavailablePlatform;
 
 impl Platform for UnavailablePlatform {
-    fn table(&self, _: TableOp) -> Answer<'_, TableAnswer> {
+    fn table(&self, _: TableOp) -> AnswerFuture<'_, TableAnswer> {
         Box::pin(async { TableAnswer::Failed(Fault::Unavailable) })
     }
 
-    fn object(&self, _: ObjectOp) -> Answer<'_, ObjectAnswer> {
+    fn object(&self, _: ObjectOp) -> AnswerFuture<'_, ObjectAnswer> {
         Box::pin(async { ObjectAnswer::Failed(Fault::Unavailable) })
     }
 }
@@ -37,11 +37,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn node_before_catch_up_rejects_requests() {
     let config = Config {
-        caller: common::free(),
-        control: common::free(),
-        traffic: common::free(),
-        admin: common::free(),
-        peers: vec![common::free()],
+        caller: common::free_address(),
+        control: common::free_address(),
+        traffic: common::free_address(),
+        admin: common::free_address(),
+        peers: vec![common::free_address()],
         ..Config::default()
     };
     let node = Node::start(
--- a/crates/node/tests/strangers.rs
+++ b/crates/node/tests/strangers.rs
@@ -12,7 +12,7 @@
     rt::{TokioExecutor, TokioIo},
 };
 use laburnum_edge::{
-    Clock, Link, Memory, Token,
+    Clock, Link, MemoryPlatform, Token,
     link::{Key, Keys, ZmqLink},
 };
 use laburnum_kernel::{Message, Ms, NodeId, SubmitId, accept};
@@ -175,7 +175,7 @@
         let mut stream = TcpStream::connect(control).await.expect("a connection");
         stream.write_all(data).await.expect("written");
     }
-    let own = NodeId(common::free());
+    let own = NodeId(common::free_address());
     let (mut other, _waker) =
         ZmqLink::bind(own, Keys::new(key(9)), Clock::system()).expect("the link binds");
     let frame = Message::Accept(accept::Message::Verdict {
@@ -385,7 +385,7 @@
     let started = Node::start(
         config,
         Clock::system(),
-        std::sync::Arc::new(Memory::default()),
+        std::sync::Arc::new(MemoryPlatform::default()),
     )
     .await;
     let Err(StartError::Exposed(faults)) = started else {
--- a/crates/standin/examples/platform_load.rs
+++ b/crates/standin/examples/platform_load.rs
@@ -4,9 +4,9 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Instant};
 
-use laburnum_edge::{Clock, HttpPlatform, HttpSettings, Memory, Platform};
+use laburnum_edge::{Clock, HttpPlatform, HttpSettings, MemoryPlatform, Platform};
 use laburnum_kernel::platform::{TableAnswer, TableOp, Write};
-use laburnum_standin::{Faulty, PlatformServer};
+use laburnum_standin::{FaultyPlatform, PlatformServer};
 
 const CALLS: usize = 5_000;
 const CALLERS: usize = 16;
@@ -29,7 +29,7 @@
 
 #[tokio::main]
 async fn main() -> std::io::Result<()> {
-    let faulty = Faulty::new(Arc::new(Memory::default()), Clock::system(), 1);
+    let faulty = FaultyPlatform::new(Arc::new(MemoryPlatform::default()), Clock::system(), 1);
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let server = PlatformServer::start(any_port, faulty).await?;
     let platform = Arc::new(HttpPlatform::new(HttpSettings {
--- a/crates/standin/src/faulty.rs
+++ b/crates/standin/src/faulty.rs
@@ -5,22 +5,22 @@
     time::Duration,
 };
 
-use laburnum_edge::{Clock, HttpSettings, Memory, Platform, platform::Answer};
+use laburnum_edge::{Clock, HttpSettings, MemoryPlatform, Platform, platform::AnswerFuture};
 use laburnum_kernel::platform::{Fault, ObjectAnswer, ObjectOp, TableAnswer, TableOp};
 
 use crate::faults::{Answers, Delivery, Faults, Injector, Kind, Plan, Stats};
 
-/// [`Memory`] with injected faults. Callers see the same answers as through the HTTP adapter, without sockets.
+/// [`MemoryPlatform`] with injected faults. Callers see the same answers as through the HTTP adapter, without sockets.
 /// Clones share all state.
 #[derive(Clone, Debug)]
-pub struct Faulty {
+pub struct FaultyPlatform {
     shared: Arc<Shared>,
     timeout: u64,
 }
 
 #[derive(Debug)]
 struct Shared {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryPlatform>,
     clock: Clock,
     injector: Mutex<Injector>,
 }
@@ -42,23 +42,28 @@
     Never,
 }
 
-impl Faulty {
+impl FaultyPlatform {
     /// Returns a platform without faults and with the default timeout of [`HttpSettings`]. `seed` determines which
     /// answers are lost once such a fault is set.
-    pub fn new(memory: Arc<Memory>, clock: Clock, seed: u64) -> Faulty {
+    pub fn new(memory: Arc<MemoryPlatform>, clock: Clock, seed: u64) -> FaultyPlatform {
         let timeout = HttpSettings::default().timeout;
-        Faulty::with_timeout(memory, clock, seed, timeout)
+        FaultyPlatform::with_timeout(memory, clock, seed, timeout)
     }
 
-    /// Like [`Faulty::new`], with a timeout of `timeout` ms.
-    pub fn with_timeout(memory: Arc<Memory>, clock: Clock, seed: u64, timeout: u64) -> Faulty {
+    /// Like [`FaultyPlatform::new`], with a timeout of `timeout` ms.
+    pub fn with_timeout(
+        memory: Arc<MemoryPlatform>,
+        clock: Clock,
+        seed: u64,
+        timeout: u64,
+    ) -> FaultyPlatform {
         let injector = Mutex::new(Injector::new(seed));
         let shared = Arc::new(Shared {
             memory,
             clock,
             injector,
         });
-        Faulty { shared, timeout }
+        FaultyPlatform { shared, timeout }
     }
 
     /// Injects `faults` from now on.
@@ -77,7 +82,7 @@
     }
 
     /// Returns the platform behind the faults, which shows what took effect.
-    pub fn memory(&self) -> &Memory {
+    pub fn memory(&self) -> &MemoryPlatform {
         &self.shared.memory
     }
 
@@ -169,8 +174,8 @@
     }
 }
 
-impl Platform for Faulty {
-    fn table(&self, op: TableOp) -> Answer<'_, TableAnswer> {
+impl Platform for FaultyPlatform {
+    fn table(&self, op: TableOp) -> AnswerFuture<'_, TableAnswer> {
         Box::pin(async move {
             let kind = table_kind(&op);
             let answer = self.apply_timeout(kind, self.serve_table(op)).await;
@@ -178,7 +183,7 @@
         })
     }
 
-    fn object(&self, op: ObjectOp) -> Answer<'_, ObjectAnswer> {
+    fn object(&self, op: ObjectOp) -> AnswerFuture<'_, ObjectAnswer> {
         Box::pin(async move {
             let kind = object_kind(&op);
             let answer = self.apply_timeout(kind, self.serve_object(op)).await;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for the platform and for upstreams with fault injection, for tests and trials.
 //!
-//! Both run in the process of a test or bench ([`Faulty`], [`Upstream`]) or as the binary `laburnum-standin`.
+//! Both run in the process of a test or bench ([`FaultyPlatform`], [`Upstream`]) or as the binary `laburnum-standin`.
 
 pub mod body;
 pub mod cli;
@@ -13,7 +13,7 @@
 
 pub use crate::{
     faults::{Answers, Faults, Outage, Share, Stats},
-    faulty::Faulty,
+    faulty::FaultyPlatform,
     platform::PlatformServer,
     upstream::{Behaviour, Ledger, Upstream, UpstreamSettings},
 };
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -2,10 +2,10 @@
 
 use std::{process::ExitCode, sync::Arc};
 
-use laburnum_edge::{Clock, Memory};
+use laburnum_edge::{Clock, MemoryPlatform};
 use laburnum_flags::{Exit, Input, Values};
 use laburnum_standin::{
-    Faulty, PlatformServer, Upstream,
+    FaultyPlatform, PlatformServer, Upstream,
     cli::{self, PlatformCommand},
 };
 use tokio::signal::unix::{SignalKind, signal};
@@ -31,8 +31,8 @@
 
 async fn platform(values: &Values) -> std::io::Result<()> {
     let command = PlatformCommand::new(values);
-    let memory = Arc::new(Memory::default());
-    let faulty = Faulty::new(memory, Clock::system(), command.seed);
+    let memory = Arc::new(MemoryPlatform::default());
+    let faulty = FaultyPlatform::new(memory, Clock::system(), command.seed);
     faulty.set(command.faults);
     let server = PlatformServer::start(command.listen, faulty).await?;
     println!(
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -20,7 +20,7 @@
 use crate::{
     body::{self, Body, ConnectionCut},
     faults::Faults,
-    faulty::{Faulty, Served},
+    faulty::{FaultyPlatform, Served},
     server::{ConnCounter, Server},
 };
 
@@ -40,7 +40,10 @@
 
 impl PlatformServer {
     /// Serves `faulty` on `address`; port zero selects a free port.
-    pub async fn start(address: SocketAddr, faulty: Faulty) -> std::io::Result<PlatformServer> {
+    pub async fn start(
+        address: SocketAddr,
+        faulty: FaultyPlatform,
+    ) -> std::io::Result<PlatformServer> {
         let listener = TcpListener::bind(address).await?;
         let handler = move |_, request| handle(faulty.clone(), request);
         let server = Server::start(listener, ConnCounter::default(), handler)?;
@@ -52,7 +55,7 @@
         self.server.address()
     }
 
-    /// Stops the server and closes every connection; its [`Faulty`] keeps the stored data.
+    /// Stops the server and closes every connection; its [`FaultyPlatform`] keeps the stored data.
     pub fn close(self) {
         self.server.close();
     }
@@ -67,7 +70,7 @@
     Cut,
 }
 
-async fn handle(faulty: Faulty, request: Request<Incoming>) -> HandlerResult {
+async fn handle(faulty: FaultyPlatform, request: Request<Incoming>) -> HandlerResult {
     let (parts, body) = request.into_parts();
     let answered = match Limited::new(body, REQUEST_MAX).collect().await {
         Ok(body) => route(&faulty, &parts.method, parts.uri.path(), body.to_bytes()).await,
@@ -86,7 +89,7 @@
 }
 
 async fn route(
-    faulty: &Faulty,
+    faulty: &FaultyPlatform,
     method: &Method,
     path: &str,
     bytes: Bytes,
@@ -137,7 +140,7 @@
     }
 }
 
-async fn table(faulty: &Faulty, op: TableOp) -> Result<Response<Body>, Refusal> {
+async fn table(faulty: &FaultyPlatform, op: TableOp) -> Result<Response<Body>, Refusal> {
     let served = faulty.serve_table(op).await;
     send(served, |answer| match answer {
         TableAnswer::Rows(rows) => body::json(StatusCode::OK, &RowsBody::from(rows)),
@@ -148,7 +151,11 @@
     .await
 }
 
-async fn object(faulty: &Faulty, name: &str, op: ObjectOp) -> Result<Response<Body>, Refusal> {
+async fn object(
+    faulty: &FaultyPlatform,
+    name: &str,
+    op: ObjectOp,
+) -> Result<Response<Body>, Refusal> {
     let served = faulty.serve_object(op).await;
     let found = |status, bytes| {
         let name = name.to_owned();
--- a/crates/standin/src/ports.rs
+++ b/crates/standin/src/ports.rs
@@ -16,7 +16,7 @@
 /// # Panics
 ///
 /// Panics if all ports of the range are taken.
-pub fn free() -> SocketAddr {
+pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let span = PORTS.end - PORTS.start;
     let first = std::process::id().wrapping_mul(STRIDE);
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use laburnum_edge::{Clock, HttpPlatform, HttpSettings, Memory, Platform};
+use laburnum_edge::{Clock, HttpPlatform, HttpSettings, MemoryPlatform, Platform};
 use laburnum_kernel::{
     Ms,
     platform::{
@@ -17,7 +17,7 @@
         VALUE_MAX, Write,
     },
 };
-use laburnum_standin::{Answers, Faults, Faulty, Outage, PlatformServer, Share};
+use laburnum_standin::{Answers, Faults, FaultyPlatform, Outage, PlatformServer, Share};
 use test_case::test_case;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -40,7 +40,7 @@
 /// Platform under test with its fault injection and its server.
 struct Rig {
     platform: Arc<dyn Platform>,
-    faulty: Faulty,
+    faulty: FaultyPlatform,
     server: Option<PlatformServer>,
 }
 
@@ -53,9 +53,9 @@
 }
 
 async fn rig(kind: Kind, timeout: u64) -> Rig {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryPlatform::default());
     let clock = Clock::manual(Ms(1_000_000));
-    let faulty = Faulty::with_timeout(memory.clone(), clock, 7, timeout);
+    let faulty = FaultyPlatform::with_timeout(memory.clone(), clock, 7, timeout);
     let (platform, server): (Arc<dyn Platform>, _) = match kind {
         Kind::Memory => (memory, None),
         Kind::Faulty => (Arc::new(faulty.clone()), None),
@@ -561,7 +561,7 @@
     let settings = HttpSettings {
         address,
         timeout: LONG_TIMEOUT_MS,
-        answer: 200_000,
+        answer_max: 200_000,
         ..HttpSettings::default()
     };
     let platform = HttpPlatform::new(settings.clone());
@@ -570,7 +570,7 @@
         answer => panic!("{answer:?}"),
     }
     let platform = HttpPlatform::new(HttpSettings {
-        answer: 1_000,
+        answer_max: 1_000,
         ..settings
     });
     let why = "the answer exceeds 1000 bytes; read fewer rows or smaller objects";
--- a/crates/standin/tests/upstream.rs
+++ b/crates/standin/tests/upstream.rs
@@ -434,7 +434,7 @@
             let body = body.collect().await.map_err(|_| ConnectionCut)?.to_bytes();
             assert_eq!(parts.uri.path(), "/v1/upstream");
             let token: Token = TOKEN.parse().expect("a token");
-            assert!(token.fits(&parts.headers["authorization"]));
+            assert!(token.matches(&parts.headers["authorization"]));
             let mut announced = announced.lock().expect("not poisoned");
             announced.push(match parts.method {
                 Method::PUT => {
