--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -5,11 +5,11 @@
 //! checked against the upstreams' ledgers.
 
 pub mod arrivals;
-pub mod breaker;
 pub mod case;
 pub mod client;
 pub mod command;
 pub mod drive;
+pub mod fault_injection;
 pub mod judge;
 pub mod preset;
 pub mod report;
@@ -21,10 +21,10 @@
 use laburnum_kernel::document::Class;
 
 use self::{
-    breaker::Targets,
     case::{Case, ServiceTime},
     client::{Callers, Destination},
     drive::Completed,
+    fault_injection::Targets,
     judge::judge,
     preset::Preset,
     report::{CaseReport, Report},
@@ -120,7 +120,7 @@
     let arrivals = arrivals::schedule(&flows, millis, settings.seed);
     let (completed, ()) = tokio::join!(
         drive::run(settings.preset, callers, arrivals, ANSWER_GRACE),
-        breaker::run(case, settings.preset, targets, millis),
+        fault_injection::run(case, settings.preset, targets, millis),
     );
     completed
 }
--- a/crates/kernel/src/guard.rs
+++ b/crates/kernel/src/guard.rs
@@ -4,7 +4,7 @@
 //! one crash these are suspects; one that was in flight in a second crash is quarantined on all nodes for
 //! [`QUARANTINE_MS`]. Quarantines spread by gossip and anti-entropy.
 
-mod spread;
+mod gossip;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -177,7 +177,7 @@
     /// Last service announced by the upstream beside this node. Kept after the upstream is gone, as its crash is often
     /// reported later.
     service: Option<Name>,
-    spread: spread::SpreadState,
+    gossip: gossip::GossipState,
 }
 
 impl Guard {
@@ -281,7 +281,7 @@
             if state.guard.expire(cx.now) {
                 cx.raise(Notice::Quarantine);
             }
-            spread::run_anti_entropy(cx, state);
+            gossip::run_anti_entropy(cx, state);
         }
         _ => {}
     }
@@ -297,7 +297,7 @@
             if let Some(service) = state.guard.service.clone() {
                 record_survival(cx, state, *print, cx.now);
                 let (print, time) = (*print, cx.now);
-                spread::send_to_service(cx, state, &service, &Message::Survived { print, time });
+                gossip::send_to_service(cx, state, &service, &Message::Survived { print, time });
             }
             Reply::Noted
         }
@@ -327,9 +327,9 @@
                 .filter(|it| state.guard.merge(it))
                 .cloned()
                 .collect();
-            spread::gossip_records(cx, state, updates);
+            gossip::gossip_records(cx, state, updates);
         }
-        Message::Digest { digest } => spread::compare_digest(cx, state, from, *digest),
+        Message::Digest { digest } => gossip::compare_digest(cx, state, from, *digest),
     }
 }
 
@@ -353,7 +353,7 @@
         service: service.clone(),
         crashes,
     };
-    spread::send_to_service(cx, state, &service, &message);
+    gossip::send_to_service(cx, state, &service, &message);
 }
 
 /// Records a crash and quarantines requests that were in flight in enough crashes.
@@ -387,7 +387,7 @@
             updates.push(record);
         }
     }
-    spread::gossip_records(cx, state, updates);
+    gossip::gossip_records(cx, state, updates);
 }
 
 fn record_survival(cx: &mut Context<'_>, state: &mut State, print: Fingerprint, time: Ms) {
@@ -424,7 +424,7 @@
     ];
     cx.log("quarantine-lifted", pairs);
     state.guard.merge(&record);
-    spread::gossip_records(cx, state, vec![record]);
+    gossip::gossip_records(cx, state, vec![record]);
     Reply::Lifted
 }
 
--- a/crates/kernel/src/guard/spread.rs
+++ b/crates/kernel/src/guard/gossip.rs
@@ -26,7 +26,7 @@
 
 /// Time of the last anti-entropy round.
 #[derive(Debug, Default)]
-pub(super) struct SpreadState {
+pub(super) struct GossipState {
     last_round: Ms,
 }
 
@@ -60,10 +60,10 @@
 ///
 /// The digest is sent even without records, so that a new node receives the existing quarantines.
 pub(super) fn run_anti_entropy(cx: &mut Context<'_>, state: &mut State) {
-    if cx.now.since(state.guard.spread.last_round) < ANTI_ENTROPY_MS {
+    if cx.now.since(state.guard.gossip.last_round) < ANTI_ENTROPY_MS {
         return;
     }
-    state.guard.spread.last_round = cx.now;
+    state.guard.gossip.last_round = cx.now;
     let peers = peers(cx, state, |_| true);
     if let Some(to) = peers.choose(cx.rng).copied() {
         let digest = digest(state);
--- a/crates/kernel/src/import.rs
+++ b/crates/kernel/src/import.rs
@@ -20,7 +20,7 @@
 
 mod confirmation;
 mod parts;
-mod question;
+mod query;
 mod subscription;
 mod turn;
 
@@ -300,7 +300,7 @@
         Err(why) => return log_refusal(cx, from, version, why),
     };
     let Some(spec) = difference.apply(state.import.table.spec()) else {
-        return question::query(cx, state, from);
+        return query::query(cx, state, from);
     };
     match Table::new(spec) {
         Ok(table) => apply_version(cx, state, &Arc::new(table), "peer"),
--- a/crates/kernel/src/import/subscription.rs
+++ b/crates/kernel/src/import/subscription.rs
@@ -14,7 +14,7 @@
 use super::{
     Confirmation, Message, Source, Turn, Watch,
     confirmation::{self, QUERY_AGE_MS},
-    question, turn,
+    query, turn,
 };
 use crate::{
     clock::Ms,
@@ -304,5 +304,5 @@
     turn::update_turn(cx, state);
     let earlier = earlier_watchers(cx, state).count();
     confirmation::tick(cx, state, earlier);
-    question::query_if_due(cx, state);
+    query::query_if_due(cx, state);
 }
--- a/crates/kernel/src/pick.rs
+++ b/crates/kernel/src/pick.rs
@@ -3,8 +3,8 @@
 //! Draws up to two random endpoints in each tier (own zone, own region, other regions, unreachable) and compares them
 //! by expected time: measured latency, load relative to the slots, and a penalty for distance.
 
-mod experience;
 pub mod placement;
+mod stats;
 
 use std::collections::HashMap;
 
@@ -20,9 +20,9 @@
     view::Endpoint,
 };
 
-pub use experience::Lane;
+pub use stats::Lane;
 
-use experience::{EndpointStats, may_eject};
+use stats::{EndpointStats, may_eject};
 
 /// Factors on the expected time by tier: own zone, own region, other regions, unreachable.
 const PENALTY: [f64; TIERS] = [1.0, 1.2, 3.0, 1_000.0];
--- a/crates/kernel/src/pick/placement.rs
+++ b/crates/kernel/src/pick/placement.rs
@@ -9,9 +9,8 @@
 use rand::Rng;
 
 use super::{
-    Choice, Outcome, Place,
-    experience::{EndpointStats, Lane, may_eject},
-    last_resort,
+    Choice, Outcome, Place, last_resort,
+    stats::{EndpointStats, Lane, may_eject},
 };
 use crate::{
     admission::ranks::{Outlook, RANKS, RankedRequest, rank_of},
--- a/crates/kernel/tests/common/chaos.rs
+++ b/crates/kernel/tests/common/chaos.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     driver::{delete, name, put},
-    promises::Invariants,
+    invariants::Invariants,
 };
 
 /// Zone of each kernel, in two regions.
--- a/crates/kernel/tests/invariants.rs
+++ b/crates/kernel/tests/invariants.rs
@@ -4,8 +4,8 @@
 mod chaos;
 #[path = "common/driver.rs"]
 mod driver;
-#[path = "common/promises.rs"]
-mod promises;
+#[path = "common/invariants.rs"]
+mod invariants;
 
 use proptest::{
     prelude::*,
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     control::Control,
-    traffic::{Traffic, lines::OpenConnections},
+    traffic::{Traffic, connections::OpenConnections},
 };
 
 pub use self::table::TABLE;
--- a/crates/node/src/metrics/table.rs
+++ b/crates/node/src/metrics/table.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{Kind, LATENCY, Point, Row, Source};
-use crate::traffic::lines::OpenConnections;
+use crate::traffic::connections::OpenConnections;
 
 /// Every metric.
 pub const TABLE: [Row; 40] = [
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -33,9 +33,9 @@
     recall,
     traffic::{
         Parts, Traffic,
+        connections::OpenConnections,
         counts::Counts,
         faults::Faults,
-        lines::OpenConnections,
         proof::Proofs,
         serve::{Bounds, Protocols, Server},
     },
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -8,6 +8,7 @@
 
 mod answer;
 pub mod body;
+pub mod connections;
 pub mod counts;
 pub mod denial;
 pub mod dialect;
@@ -15,7 +16,7 @@
 pub mod faults;
 pub mod gate;
 pub mod headers;
-pub mod lines;
+mod link_budget;
 mod once;
 mod owner;
 pub mod peers;
@@ -23,7 +24,6 @@
 pub mod pool;
 pub mod proof;
 pub mod report;
-mod room;
 pub mod serve;
 pub mod services;
 mod socket;
@@ -60,10 +60,10 @@
 use faults::Faults;
 use gate::{Gate, Gauges};
 use headers::REQUEST;
+use link_budget::LinkBudget;
 use peers::Peers;
 use proof::{Proofs, Unproven};
 use report::RequestLog;
-use room::LinkBudget;
 use serve::ConnectionPeer;
 use services::Services;
 
--- a/crates/node/src/traffic/owner.rs
+++ b/crates/node/src/traffic/owner.rs
@@ -46,9 +46,9 @@
         self, ATTEMPT, BUDGET, DEADLINE, GOAL, KIND, LOAD, NEVER, OUTLOOK, PRIORITY, QUEUE, REPEAT,
         REQUEST, SERVICE, SHORT,
     },
+    link_budget::{self, Reservation},
     pool::{Lease, Sent, Unavailable, Usage},
     report,
-    room::{self, Reservation},
     services::Feedback,
 };
 
@@ -319,7 +319,7 @@
         body: &Body,
         order: Option<RankedRequest>,
     ) -> Result<Option<Reservation>, Denial> {
-        let Some(order) = order.filter(|_| room::is_large(body)) else {
+        let Some(order) = order.filter(|_| link_budget::is_large(body)) else {
             return Ok(None);
         };
         self.0.gate.check(order).map_err(Denial::Refused)?;
--- a/crates/node/src/traffic/serve.rs
+++ b/crates/node/src/traffic/serve.rs
@@ -29,8 +29,8 @@
 use tower::{ServiceExt, service_fn};
 
 use super::{
+    connections::{OpenConnection, OpenConnections},
     faults::Faults,
-    lines::{OpenConnection, OpenConnections},
     stall::StallTimeout,
 };
 
--- a/crates/node/tests/connection_memory.rs
+++ b/crates/node/tests/connection_memory.rs
@@ -7,8 +7,8 @@
 use http::{Request, Response};
 use laburnum_edge::Clock;
 use laburnum_node::traffic::{
+    connections::OpenConnections,
     faults::Faults,
-    lines::OpenConnections,
     peers::{Peers, Sent},
     serve::{Bounds, Protocols, Server},
 };
