--- a/crates/kernel/tests/placement.rs
+++ b/crates/kernel/tests/placement.rs
@@ -57,7 +57,7 @@
     placement
 }
 
-fn order(now: Ms) -> RankedRequest {
+fn ranked(now: Ms) -> RankedRequest {
     RankedRequest {
         priority: 2,
         goal: now + 200,
@@ -92,7 +92,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut counts = [0; 3];
     for _ in 0..DRAWS {
-        match placement.place(NOW, &mut rng, order(NOW), tried) {
+        match placement.place(NOW, &mut rng, ranked(NOW), tried) {
             Choice::Send(it) | Choice::Probe(it) => counts[usize::from(it.node.0.port()) - 1] += 1,
             Choice::Refuse(it) => panic!("refused: {it:?}"),
         }
@@ -104,7 +104,10 @@
 #[test]
 fn refusal_of_one_kind_does_not_hold_others() {
     let (petition, call) = (Kind(7), Kind(8));
-    let order = |kind| RankedRequest { kind, ..order(NOW) };
+    let ranked = |kind| RankedRequest {
+        kind,
+        ..ranked(NOW)
+    };
     let mut placement = placement();
     let refusal = Refusal::after(Reason::Overloaded, 300);
     for number in 1..=3 {
@@ -114,7 +117,7 @@
         placement.finished(NOW, id(number), lane, outcome, None);
     }
     let mut rng = ChaCha8Rng::seed_from_u64(5);
-    let mut choose = |now, kind| placement.place(now, &mut rng, order(kind), &[]);
+    let mut choose = |now, kind| placement.place(now, &mut rng, ranked(kind), &[]);
     assert!(matches!(choose(NOW + 1, call), Choice::Send(_)));
     let Choice::Refuse(refused) = choose(NOW + 1, petition) else {
         panic!("expected a refusal while the hold lasts");
@@ -197,7 +200,7 @@
 fn endpoints_with_old_outlooks_are_probed() {
     let place = |placement: &Placement, now, tried: &[NodeId]| {
         let mut rng = ChaCha8Rng::seed_from_u64(5);
-        placement.place(now, &mut rng, order(now), tried)
+        placement.place(now, &mut rng, ranked(now), tried)
     };
     let mut placement = placement();
     let zone: Vec<Endpoint> = (1..=5).map(|it| endpoint(it, "nasr")).collect();
@@ -225,7 +228,7 @@
     let mut placement = placement();
     placement.refresh(&[]);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
-    match placement.place(NOW, &mut rng, order(NOW), &[]) {
+    match placement.place(NOW, &mut rng, ranked(NOW), &[]) {
         Choice::Refuse(it) => assert_eq!(it.reason, Reason::NoEndpoint),
         it => panic!("there is no endpoint: {it:?}"),
     }
@@ -244,7 +247,7 @@
     let used = |placement: &Placement, rng: &mut ChaCha8Rng| -> BTreeSet<NodeId> {
         let mut tried = Vec::new();
         while let Choice::Send(it) | Choice::Probe(it) =
-            placement.place(NOW, rng, order(NOW), &tried)
+            placement.place(NOW, rng, ranked(NOW), &tried)
         {
             tried.push(it.node);
         }
@@ -276,7 +279,7 @@
     }
     placement.refresh(&endpoints);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    match placement.place(NOW, &mut rng, order(NOW), &[]) {
+    match placement.place(NOW, &mut rng, ranked(NOW), &[]) {
         Choice::Send(it) | Choice::Probe(it) => assert_eq!(it.node, id(999)),
         Choice::Refuse(it) => panic!("{it:?}"),
     }
--- a/crates/kernel/tests/placement_fleet.rs
+++ b/crates/kernel/tests/placement_fleet.rs
@@ -153,7 +153,7 @@
         self.send(request);
     }
 
-    fn order(request: &Request) -> RankedRequest {
+    fn ranked(request: &Request) -> RankedRequest {
         RankedRequest {
             priority: 2,
             goal: request.arrived + GOAL_MS,
@@ -164,12 +164,12 @@
     }
 
     fn send(&mut self, mut request: Request) {
-        let mut order = Fleet::order(&request);
+        let mut ranked = Fleet::ranked(&request);
         let entry = &mut self.entries[request.entry];
-        let to = match entry.place(self.now, &mut self.rng, order, &request.tried) {
+        let to = match entry.place(self.now, &mut self.rng, ranked, &request.tried) {
             Choice::Send(to) => to,
             Choice::Probe(to) => {
-                order.queue = WaitLimit::Short;
+                ranked.queue = WaitLimit::Short;
                 to
             }
             Choice::Refuse(_) => return,
@@ -177,7 +177,7 @@
         entry.started(self.now, to.node);
         request.tried.push(to.node);
         let at = index(to.node);
-        match self.owners[at].ranks.offer(self.now, order) {
+        match self.owners[at].ranks.offer(self.now, ranked) {
             Offer::Run(permit) => self.start(at, permit, request),
             Offer::Wait(ticket) => self.owners[at].waiting.push((ticket, request)),
             Offer::Refuse(refusal) => self.handle_refusal(at, request, refusal),
--- a/crates/kernel/tests/ranks.rs
+++ b/crates/kernel/tests/ranks.rs
@@ -22,7 +22,7 @@
     ranks
 }
 
-fn order(now: Ms, priority: u8, goal: u64, deadline: u64) -> RankedRequest {
+fn ranked(now: Ms, priority: u8, goal: u64, deadline: u64) -> RankedRequest {
     RankedRequest {
         priority,
         goal: now + goal,
@@ -64,10 +64,10 @@
 #[test]
 fn order_is_by_priority_then_goal() {
     let mut ranks = ranks(1);
-    let running = run(ranks.offer(NOW, order(NOW, 2, 500, 2_000)));
-    let later = wait(ranks.offer(NOW, order(NOW, 2, 900, 2_000)));
-    let sooner = wait(ranks.offer(NOW, order(NOW, 2, 800, 2_000)));
-    let urgent = wait(ranks.offer(NOW, order(NOW, 0, 900, 2_000)));
+    let running = run(ranks.offer(NOW, ranked(NOW, 2, 500, 2_000)));
+    let later = wait(ranks.offer(NOW, ranked(NOW, 2, 900, 2_000)));
+    let sooner = wait(ranks.offer(NOW, ranked(NOW, 2, 800, 2_000)));
+    let urgent = wait(ranks.offer(NOW, ranked(NOW, 0, 900, 2_000)));
     let mut now = NOW + 50;
     let mut permit = Some(running);
     for expected in [urgent, sooner, later] {
@@ -86,9 +86,9 @@
 #[test]
 fn late_requests_wait_behind_timely_ones() {
     let mut ranks = ranks(1);
-    let running = run(ranks.offer(NOW, order(NOW, 2, 500, 2_000)));
-    let late = wait(ranks.offer(NOW, order(NOW, 2, 10, 1_000)));
-    let timely = wait(ranks.offer(NOW, order(NOW, 2, 600, 2_000)));
+    let running = run(ranks.offer(NOW, ranked(NOW, 2, 500, 2_000)));
+    let late = wait(ranks.offer(NOW, ranked(NOW, 2, 10, 1_000)));
+    let timely = wait(ranks.offer(NOW, ranked(NOW, 2, 600, 2_000)));
     let mut wakes = Vec::new();
     ranks.done(NOW + 50, running, Finish::Answered, &mut wakes);
     assert_eq!(started(&wakes), [timely]);
@@ -99,9 +99,9 @@
 #[test]
 fn unservable_request_is_refused_with_retry_time() {
     let mut ranks = ranks(1);
-    let _running = run(ranks.offer(NOW, order(NOW, 1, 500, 2_000)));
-    while let Offer::Wait(_) = ranks.offer(NOW, order(NOW, 1, 200, 400)) {}
-    let refusal = refused(ranks.offer(NOW, order(NOW, 1, 200, 400)));
+    let _running = run(ranks.offer(NOW, ranked(NOW, 1, 500, 2_000)));
+    while let Offer::Wait(_) = ranks.offer(NOW, ranked(NOW, 1, 200, 400)) {}
+    let refusal = refused(ranks.offer(NOW, ranked(NOW, 1, 200, 400)));
     assert_eq!(refusal.reason, Reason::Overloaded);
     assert!(refusal.after > 0, "the refusal states when to retry");
 }
@@ -111,7 +111,7 @@
 fn probe_waits_only_for_the_next_free_slot() {
     let probe = |priority| RankedRequest {
         queue: WaitLimit::Short,
-        ..order(NOW, priority, 300, 2_000)
+        ..ranked(NOW, priority, 300, 2_000)
     };
     let mut ranks = ranks(6);
     for _ in 0..6 {
@@ -119,7 +119,7 @@
     }
     wait(ranks.offer(NOW, probe(2)));
     for _ in 0..4 {
-        wait(ranks.offer(NOW, order(NOW, 2, 300, 2_000)));
+        wait(ranks.offer(NOW, ranked(NOW, 2, 300, 2_000)));
     }
     assert_eq!(
         refused(ranks.offer(NOW, probe(2))).reason,
@@ -133,13 +133,13 @@
 #[test_case(Phase::Gone, Reason::Draining)]
 fn upstream_not_ready_refuses_all_requests(phase: Phase, reason: Reason) {
     let mut ranks = ranks(1);
-    let _running = run(ranks.offer(NOW, order(NOW, 1, 500, 2_000)));
-    let waiting = wait(ranks.offer(NOW, order(NOW, 1, 500, 2_000)));
+    let _running = run(ranks.offer(NOW, ranked(NOW, 1, 500, 2_000)));
+    let waiting = wait(ranks.offer(NOW, ranked(NOW, 1, 500, 2_000)));
     let mut wakes = Vec::new();
     ranks.set_phase(NOW, phase, &mut wakes);
     assert_eq!(wakes, [Wake::Refuse(waiting, Refusal::new(reason))]);
     assert_eq!(
-        refused(ranks.offer(NOW, order(NOW, 0, 500, 2_000))).reason,
+        refused(ranks.offer(NOW, ranked(NOW, 0, 500, 2_000))).reason,
         reason
     );
 }
@@ -148,8 +148,8 @@
 #[test]
 fn cancelled_request_never_runs() {
     let mut ranks = ranks(1);
-    let running = run(ranks.offer(NOW, order(NOW, 1, 500, 2_000)));
-    let gone = wait(ranks.offer(NOW, order(NOW, 1, 500, 2_000)));
+    let running = run(ranks.offer(NOW, ranked(NOW, 1, 500, 2_000)));
+    let gone = wait(ranks.offer(NOW, ranked(NOW, 1, 500, 2_000)));
     assert!(ranks.cancel(gone));
     let mut wakes = Vec::new();
     ranks.done(NOW + 50, running, Finish::Answered, &mut wakes);
@@ -210,11 +210,11 @@
                 continue;
             }
             tallies[index].asked += 1;
-            let order = RankedRequest {
+            let ranked = RankedRequest {
                 kind: Kind(index as u32 + 1),
-                ..order(now, class.priority, class.goal, class.deadline)
+                ..ranked(now, class.priority, class.goal, class.deadline)
             };
-            match ranks.offer(now, order) {
+            match ranks.offer(now, ranked) {
                 Offer::Run(permit) => {
                     running.push((now + work(&mut rng, class.work), permit, index, now));
                 }
@@ -334,11 +334,11 @@
     let mut now = NOW;
     let mut held = Vec::new();
     for _ in 0..2 {
-        held.push(run(ranks.offer(now, order(now, 1, 500, 2_000))));
+        held.push(run(ranks.offer(now, ranked(now, 1, 500, 2_000))));
     }
     now = now + 1_000;
     for _ in 0..3 {
-        let _ = wait(ranks.offer(now, order(now, 2, 900, 2_000)));
+        let _ = wait(ranks.offer(now, ranked(now, 2, 900, 2_000)));
     }
     let outlook = ranks.outlook();
     assert_eq!(outlook.free, 0);
@@ -375,11 +375,11 @@
 fn kinds_above_the_maximum_replace_idle_ones() {
     let mut ranks = ranks(100);
     let offer = |ranks: &mut Ranks, kind: u32| {
-        let order = RankedRequest {
+        let ranked = RankedRequest {
             kind: Kind(kind),
-            ..order(NOW, 1, 500, 2_000)
+            ..ranked(NOW, 1, 500, 2_000)
         };
-        run(ranks.offer(NOW, order))
+        run(ranks.offer(NOW, ranked))
     };
     let held: Vec<Permit> = (1..=60).map(|it| offer(&mut ranks, it)).collect();
     assert_eq!(ranks.running(), 60);
--- a/crates/node/src/traffic/entry.rs
+++ b/crates/node/src/traffic/entry.rs
@@ -209,7 +209,7 @@
             let now = self.now();
             let choice = {
                 let state = plan.service.lock();
-                state.chooser.choose(now, plan.class, plan.order(), &tried)
+                state.chooser.choose(now, plan.class, plan.ranked(), &tried)
             };
             let (endpoint, queue) = match choice {
                 Choice::Send(endpoint) => (endpoint, WaitLimit::Full),
--- a/crates/node/src/traffic/gate.rs
+++ b/crates/node/src/traffic/gate.rs
@@ -46,13 +46,13 @@
     Ranks(Ranks),
 }
 
-/// Request for a slot. Submitted documents use the class and the deadline, an imported configuration the order.
+/// Request for a slot. Submitted documents use the class and the deadline, an imported configuration `ranked`.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotRequest {
     /// Traffic class.
     pub class: Class,
     /// Priority, latency goal and deadline.
-    pub order: RankedRequest,
+    pub ranked: RankedRequest,
 }
 
 /// State of the upstream that admission depends on.
@@ -146,11 +146,11 @@
         }
     }
 
-    /// Checks whether a request with `order` would be admitted now. Always `Ok` with submitted documents.
-    pub fn check(&self, order: RankedRequest) -> Result<(), Refusal> {
+    /// Checks whether a request with `ranked` would be admitted now. Always `Ok` with submitted documents.
+    pub fn check(&self, ranked: RankedRequest) -> Result<(), Refusal> {
         match &mut self.lock().policy {
             Policy::Shares(_) => Ok(()),
-            Policy::Ranks(it) => it.check(self.clock.now(), order),
+            Policy::Ranks(it) => it.check(self.clock.now(), ranked),
         }
     }
 
@@ -247,11 +247,11 @@
             Policy::Shares(it) => {
                 let request = Request {
                     class: request.class,
-                    deadline: request.order.deadline,
+                    deadline: request.ranked.deadline,
                 };
                 it.offer(now, request)
             }
-            Policy::Ranks(it) => it.offer(now, request.order),
+            Policy::Ranks(it) => it.offer(now, request.ranked),
         }
     }
 
--- a/crates/node/src/traffic/owner.rs
+++ b/crates/node/src/traffic/owner.rs
@@ -69,7 +69,7 @@
     deadline: Deadline,
     tree: Tree,
     /// Priority and latency goal, if the route sets them.
-    order: Option<RankedRequest>,
+    ranked: Option<RankedRequest>,
     repeat: Repeat,
 }
 
@@ -85,7 +85,7 @@
     pub(super) upstream: Arc<ActiveUpstream>,
     pub(super) class: Class,
     /// Priority and latency goal; the lowest priority and the deadline if the route sets none.
-    pub(super) order: RankedRequest,
+    pub(super) ranked: RankedRequest,
     pub(super) repeat: Repeat,
     pub(super) deadline: Deadline,
     /// Maximum length of the answer's body, in bytes.
@@ -247,7 +247,7 @@
         let terms = match self.0.origin {
             Origin::Submitted => self.document_terms(&params, found, &parts)?,
             Origin::Imported => Terms {
-                class: routing::class_of(params.order.map_or(u8::MAX, |it| it.priority)),
+                class: routing::class_of(params.ranked.map_or(u8::MAX, |it| it.priority)),
                 repeat: params.repeat,
                 deadline: params.deadline,
             },
@@ -262,7 +262,7 @@
             Origin::Submitted => repeat,
             Origin::Imported => Repeat::Idempotent,
         };
-        let reserved = self.reserve_link(&incoming, params.order)?;
+        let reserved = self.reserve_link(&incoming, params.ranked)?;
         let payload = read_body(incoming, claimed, limit, self.instant(deadline), reserved).await?;
         let mut headers = parts.headers;
         let path = parts.uri.path_and_query().map_or("/", |it| it.as_str());
@@ -294,7 +294,7 @@
         Ok(Job {
             upstream,
             class,
-            order: params.order.unwrap_or(RankedRequest {
+            ranked: params.ranked.unwrap_or(RankedRequest {
                 priority: u8::MAX,
                 goal: deadline.at(),
                 deadline: deadline.at(),
@@ -317,20 +317,20 @@
     fn reserve_link(
         &self,
         body: &Body,
-        order: Option<RankedRequest>,
+        ranked: Option<RankedRequest>,
     ) -> Result<Option<Reservation>, Denial> {
-        let Some(order) = order.filter(|_| link_budget::is_large(body)) else {
+        let Some(ranked) = ranked.filter(|_| link_budget::is_large(body)) else {
             return Ok(None);
         };
-        self.0.gate.check(order).map_err(Denial::Refused)?;
+        self.0.gate.check(ranked).map_err(Denial::Refused)?;
         let now = self.now();
         let run = match self.0.gate.feedback() {
-            Feedback::Outlook(it) => u64::from(it.service[rank_of(order.priority)]),
+            Feedback::Outlook(it) => u64::from(it.service[rank_of(ranked.priority)]),
             Feedback::Load(_) | Feedback::Nothing => 0,
         };
-        let timely = order.goal.since(now).saturating_sub(run);
+        let timely = ranked.goal.since(now).saturating_sub(run);
         let longest = match timely {
-            0 => order.deadline.since(now).saturating_sub(run),
+            0 => ranked.deadline.since(now).saturating_sub(run),
             it => it,
         };
         let reserved = self.0.link.reserve(body, longest);
@@ -378,7 +378,7 @@
                 service,
                 deadline: Deadline::after(now, left),
                 tree,
-                order: priority.zip(goal).map(|(priority, goal)| RankedRequest {
+                ranked: priority.zip(goal).map(|(priority, goal)| RankedRequest {
                     priority: u8::try_from(priority).unwrap_or(u8::MAX),
                     goal: now + goal,
                     deadline: now + left,
@@ -407,7 +407,7 @@
     pub(super) async fn admit(&self, job: &Job) -> Result<Slot, Denial> {
         let request = SlotRequest {
             class: job.class,
-            order: job.order,
+            ranked: job.ranked,
         };
         self.0.gate.acquire(request).await.map_err(Denial::Refused)
     }
--- a/crates/node/src/traffic/plan.rs
+++ b/crates/node/src/traffic/plan.rs
@@ -222,7 +222,7 @@
 
 impl Plan {
     /// Returns the request's priority, goal and deadline for the admission queue.
-    pub(super) fn order(&self) -> RankedRequest {
+    pub(super) fn ranked(&self) -> RankedRequest {
         RankedRequest {
             priority: self.priority.unwrap_or_default(),
             goal: self.goal,
--- a/crates/node/src/traffic/services.rs
+++ b/crates/node/src/traffic/services.rs
@@ -75,11 +75,11 @@
 }
 
 impl Chooser {
-    /// Chooses an endpoint for a request of `class` and `order` that has already failed at `tried`.
-    pub fn choose(&self, now: Ms, class: Class, order: RankedRequest, tried: &[NodeId]) -> Choice {
+    /// Chooses an endpoint for the request `ranked` of `class` that has already failed at `tried`.
+    pub fn choose(&self, now: Ms, class: Class, ranked: RankedRequest, tried: &[NodeId]) -> Choice {
         match self {
             Chooser::Picker(it) => it.pick(now, &mut rand::rng(), class, tried),
-            Chooser::Placement(it) => it.place(now, &mut rand::rng(), order, tried),
+            Chooser::Placement(it) => it.place(now, &mut rand::rng(), ranked, tried),
         }
     }
 
