--- a/crates/kernel/src/guard.rs
+++ b/crates/kernel/src/guard.rs
@@ -4,7 +4,7 @@
 //! one crash these are suspects; one that was in flight in a second crash is quarantined on all nodes for
 //! [`QUARANTINE_MS`]. Quarantines spread by gossip and anti-entropy.
 
-mod spread;
+mod gossip;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -81,12 +81,12 @@
     /// Time at which it was quarantined or lifted; the record expires [`QUARANTINE_MS`] later.
     pub time: Ms,
     /// Whether it is quarantined or lifted.
-    pub state: Hold,
+    pub state: QuarantineState,
 }
 
 /// State of a quarantine record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Hold {
+pub enum QuarantineState {
     /// The request is refused as not run.
     Held,
     /// An operator lifted the quarantine; earlier crashes no longer count.
@@ -112,13 +112,13 @@
     }
 
     /// Returns whether the request is quarantined and must be refused as not run.
-    pub fn holds(&self, print: Fingerprint) -> bool {
+    pub fn is_held(&self, print: Fingerprint) -> bool {
         self.held.contains(&print)
     }
 
     /// Returns whether the request was in flight in a crash. An owner runs at most one suspect at a time, so that a
     /// second crash identifies the cause.
-    pub fn suspects(&self, print: Fingerprint) -> bool {
+    pub fn is_suspect(&self, print: Fingerprint) -> bool {
         self.suspects.contains(&print)
     }
 }
@@ -177,13 +177,16 @@
     /// Last service announced by the upstream beside this node. Kept after the upstream is gone, as its crash is often
     /// reported later.
     service: Option<Name>,
-    spread: spread::SpreadState,
+    gossip: gossip::GossipState,
 }
 
 impl Guard {
     /// Returns the current quarantines and suspects for the view.
     pub fn quarantined(&self) -> Arc<Quarantined> {
-        let held = self.records.values().filter(|it| it.state == Hold::Held);
+        let held = self
+            .records
+            .values()
+            .filter(|it| it.state == QuarantineState::Held);
         let inflight = self
             .crashes
             .iter()
@@ -205,7 +208,7 @@
     /// Returns the time up to which crashes do not count against `print`.
     fn cleared_until(&self, print: Fingerprint) -> Option<Ms> {
         let record = self.records.get(&print);
-        let lifted = record.filter(|it| it.state == Hold::Lifted);
+        let lifted = record.filter(|it| it.state == QuarantineState::Lifted);
         let survived = self.survived.get(&print).copied();
         lifted.map(|it| it.time).max(survived)
     }
@@ -278,7 +281,7 @@
             if state.guard.expire(cx.now) {
                 cx.raise(Notice::Quarantine);
             }
-            spread::run_anti_entropy(cx, state);
+            gossip::run_anti_entropy(cx, state);
         }
         _ => {}
     }
@@ -294,7 +297,7 @@
             if let Some(service) = state.guard.service.clone() {
                 record_survival(cx, state, *print, cx.now);
                 let (print, time) = (*print, cx.now);
-                spread::send_to_service(cx, state, &service, &Message::Survived { print, time });
+                gossip::send_to_service(cx, state, &service, &Message::Survived { print, time });
             }
             Reply::Noted
         }
@@ -324,9 +327,9 @@
                 .filter(|it| state.guard.merge(it))
                 .cloned()
                 .collect();
-            spread::gossip_records(cx, state, updates);
+            gossip::gossip_records(cx, state, updates);
         }
-        Message::Digest { digest } => spread::compare_digest(cx, state, from, *digest),
+        Message::Digest { digest } => gossip::compare_digest(cx, state, from, *digest),
     }
 }
 
@@ -350,7 +353,7 @@
         service: service.clone(),
         crashes,
     };
-    spread::send_to_service(cx, state, &service, &message);
+    gossip::send_to_service(cx, state, &service, &message);
 }
 
 /// Records a crash and quarantines requests that were in flight in enough crashes.
@@ -373,7 +376,7 @@
             print: *print,
             service: service.clone(),
             time,
-            state: Hold::Held,
+            state: QuarantineState::Held,
         };
         if guard.merge(&record) {
             let pairs = vec![
@@ -384,7 +387,7 @@
             updates.push(record);
         }
     }
-    spread::gossip_records(cx, state, updates);
+    gossip::gossip_records(cx, state, updates);
 }
 
 fn record_survival(cx: &mut Context<'_>, state: &mut State, print: Fingerprint, time: Ms) {
@@ -405,12 +408,12 @@
     note: &str,
 ) -> Reply {
     let held = state.guard.records.get(&print);
-    let Some(held) = held.filter(|it| it.state == Hold::Held) else {
+    let Some(held) = held.filter(|it| it.state == QuarantineState::Held) else {
         return Reply::Absent;
     };
     let record = Record {
         time: held.time.max(cx.now),
-        state: Hold::Lifted,
+        state: QuarantineState::Lifted,
         ..held.clone()
     };
     let pairs = vec![
@@ -421,7 +424,7 @@
     ];
     cx.log("quarantine-lifted", pairs);
     state.guard.merge(&record);
-    spread::gossip_records(cx, state, vec![record]);
+    gossip::gossip_records(cx, state, vec![record]);
     Reply::Lifted
 }
 
--- a/crates/node/src/traffic/owner.rs
+++ b/crates/node/src/traffic/owner.rs
@@ -19,11 +19,11 @@
     admission::{
         Finish,
         kinds::Kind,
-        ranks::{Order, Queue, rank_of},
+        ranks::{RankedRequest, WaitLimit, rank_of},
     },
     document::{Class, Repeat},
     guard::Fingerprint,
-    health::Sign,
+    health::Observation,
     members::Phase,
     refusal::{Reason, Refusal},
     retry::{Deadline, Tree},
@@ -46,9 +46,9 @@
         self, ATTEMPT, BUDGET, DEADLINE, GOAL, KIND, LOAD, NEVER, OUTLOOK, PRIORITY, QUEUE, REPEAT,
         REQUEST, SERVICE, SHORT,
     },
+    link_budget::{self, Reservation},
     pool::{Lease, Sent, Unavailable, Usage},
     report,
-    room::{self, Reservation},
     services::Feedback,
 };
 
@@ -69,7 +69,7 @@
     deadline: Deadline,
     tree: Tree,
     /// Priority and latency goal, if the route sets them.
-    order: Option<Order>,
+    ranked: Option<RankedRequest>,
     repeat: Repeat,
 }
 
@@ -85,7 +85,7 @@
     pub(super) upstream: Arc<ActiveUpstream>,
     pub(super) class: Class,
     /// Priority and latency goal; the lowest priority and the deadline if the route sets none.
-    pub(super) order: Order,
+    pub(super) ranked: RankedRequest,
     pub(super) repeat: Repeat,
     pub(super) deadline: Deadline,
     /// Maximum length of the answer's body, in bytes.
@@ -247,7 +247,7 @@
         let terms = match self.0.origin {
             Origin::Submitted => self.document_terms(&params, found, &parts)?,
             Origin::Imported => Terms {
-                class: routing::class_of(params.order.map_or(u8::MAX, |it| it.priority)),
+                class: routing::class_of(params.ranked.map_or(u8::MAX, |it| it.priority)),
                 repeat: params.repeat,
                 deadline: params.deadline,
             },
@@ -262,7 +262,7 @@
             Origin::Submitted => repeat,
             Origin::Imported => Repeat::Idempotent,
         };
-        let reserved = self.reserve_link(&incoming, params.order)?;
+        let reserved = self.reserve_link(&incoming, params.ranked)?;
         let payload = read_body(incoming, claimed, limit, self.instant(deadline), reserved).await?;
         let mut headers = parts.headers;
         let path = parts.uri.path_and_query().map_or("/", |it| it.as_str());
@@ -275,7 +275,7 @@
             "",
             &payload.digest(),
         );
-        if view.quarantined.holds(fingerprint) {
+        if view.quarantined.is_held(fingerprint) {
             return Err(Denial::Refused(Refusal::new(Reason::Quarantined)));
         }
         let uri = path.parse().unwrap_or_default();
@@ -294,11 +294,11 @@
         Ok(Job {
             upstream,
             class,
-            order: params.order.unwrap_or(Order {
+            ranked: params.ranked.unwrap_or(RankedRequest {
                 priority: u8::MAX,
                 goal: deadline.at(),
                 deadline: deadline.at(),
-                queue: Queue::Full,
+                queue: WaitLimit::Full,
                 kind: Kind::default(),
             }),
             repeat,
@@ -317,20 +317,20 @@
     fn reserve_link(
         &self,
         body: &Body,
-        order: Option<Order>,
+        ranked: Option<RankedRequest>,
     ) -> Result<Option<Reservation>, Denial> {
-        let Some(order) = order.filter(|_| room::is_large(body)) else {
+        let Some(ranked) = ranked.filter(|_| link_budget::is_large(body)) else {
             return Ok(None);
         };
-        self.0.gate.check(order).map_err(Denial::Refused)?;
+        self.0.gate.check(ranked).map_err(Denial::Refused)?;
         let now = self.now();
         let run = match self.0.gate.feedback() {
-            Feedback::Outlook(it) => u64::from(it.service[rank_of(order.priority)]),
+            Feedback::Outlook(it) => u64::from(it.service[rank_of(ranked.priority)]),
             Feedback::Load(_) | Feedback::Nothing => 0,
         };
-        let timely = order.goal.since(now).saturating_sub(run);
+        let timely = ranked.goal.since(now).saturating_sub(run);
         let longest = match timely {
-            0 => order.deadline.since(now).saturating_sub(run),
+            0 => ranked.deadline.since(now).saturating_sub(run),
             it => it,
         };
         let reserved = self.0.link.reserve(body, longest);
@@ -378,13 +378,13 @@
                 service,
                 deadline: Deadline::after(now, left),
                 tree,
-                order: priority.zip(goal).map(|(priority, goal)| Order {
+                ranked: priority.zip(goal).map(|(priority, goal)| RankedRequest {
                     priority: u8::try_from(priority).unwrap_or(u8::MAX),
                     goal: now + goal,
                     deadline: now + left,
                     queue: match headers.get(QUEUE) {
-                        Some(it) if *it == SHORT => Queue::Short,
-                        _ => Queue::Full,
+                        Some(it) if *it == SHORT => WaitLimit::Short,
+                        _ => WaitLimit::Full,
                     },
                     kind: Kind(
                         kind.and_then(|it| u32::try_from(it).ok())
@@ -407,7 +407,7 @@
     pub(super) async fn admit(&self, job: &Job) -> Result<Slot, Denial> {
         let request = SlotRequest {
             class: job.class,
-            order: job.order,
+            ranked: job.ranked,
         };
         self.0.gate.acquire(request).await.map_err(Denial::Refused)
     }
@@ -480,7 +480,7 @@
     /// Waits for the permit to run if the request is suspected of a crash. Suspects run one at a time, so that
     /// a second crash identifies the cause.
     async fn suspect_permit(&self, job: &Job, limit: Instant) -> Result<Option<Suspect>, Denial> {
-        if !self.view().quarantined.suspects(job.fingerprint) {
+        if !self.view().quarantined.is_suspect(job.fingerprint) {
             return Ok(None);
         }
         let suspects = self.0.suspects.clone();
@@ -549,7 +549,7 @@
         match fault {
             Unavailable::Refused => {
                 slot.finish(Finish::Failed);
-                self.0.upstream.observe(Sign::Refused);
+                self.0.upstream.observe(Observation::Refused);
                 self.0.upstream.request_poll();
                 not_ready()
             }
--- a/crates/node/src/traffic/services.rs
+++ b/crates/node/src/traffic/services.rs
@@ -11,7 +11,7 @@
     admission::{
         Load,
         kinds::Kind,
-        ranks::{Order, Outlook},
+        ranks::{Outlook, RankedRequest},
     },
     document::Class,
     pick::{Choice, Lane, Outcome, Picker, Place, placement::Placement},
@@ -75,11 +75,11 @@
 }
 
 impl Chooser {
-    /// Chooses an endpoint for a request of `class` and `order` that has already failed at `tried`.
-    pub fn choose(&self, now: Ms, class: Class, order: Order, tried: &[NodeId]) -> Choice {
+    /// Chooses an endpoint for the request `ranked` of `class` that has already failed at `tried`.
+    pub fn choose(&self, now: Ms, class: Class, ranked: RankedRequest, tried: &[NodeId]) -> Choice {
         match self {
             Chooser::Picker(it) => it.pick(now, &mut rand::rng(), class, tried),
-            Chooser::Placement(it) => it.place(now, &mut rand::rng(), order, tried),
+            Chooser::Placement(it) => it.place(now, &mut rand::rng(), ranked, tried),
         }
     }
 
--- a/crates/node/tests/promises.rs
+++ b/crates/node/tests/promises.rs
@@ -8,10 +8,10 @@
 use common::{Cluster, Fake, Step, answer, cluster, request, send, spawn, until};
 use http::Request;
 use hyper_util::rt::{TokioExecutor, TokioIo};
-use laburnum_edge::{Clock, Platform, platform::Answer};
+use laburnum_edge::{Clock, Platform, platform::AnswerFuture};
 use laburnum_kernel::{
     Call, Reply,
-    drain::{FAREWELL_MS, NOTICE_MS},
+    drain::{LEAVE_SPREAD_MS, NOTICE_MS},
     guard,
     members::Phase,
     platform::{Fault, ObjectAnswer, ObjectOp, TableAnswer, TableOp},
@@ -23,11 +23,11 @@
 struct UnavailablePlatform;
 
 impl Platform for UnavailablePlatform {
-    fn table(&self, _: TableOp) -> Answer<'_, TableAnswer> {
+    fn table(&self, _: TableOp) -> AnswerFuture<'_, TableAnswer> {
         Box::pin(async { TableAnswer::Failed(Fault::Unavailable) })
     }
 
-    fn object(&self, _: ObjectOp) -> Answer<'_, ObjectAnswer> {
+    fn object(&self, _: ObjectOp) -> AnswerFuture<'_, ObjectAnswer> {
         Box::pin(async { ObjectAnswer::Failed(Fault::Unavailable) })
     }
 }
@@ -37,11 +37,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn node_before_catch_up_rejects_requests() {
     let config = Config {
-        caller: common::free(),
-        control: common::free(),
-        traffic: common::free(),
-        admin: common::free(),
-        peers: vec![common::free()],
+        caller: common::free_address(),
+        control: common::free_address(),
+        traffic: common::free_address(),
+        admin: common::free_address(),
+        peers: vec![common::free_address()],
         ..Config::default()
     };
     let node = Node::start(
@@ -139,7 +139,7 @@
     until(|| fake.seen().len() == 1).await;
     let owner = cluster.nodes.remove(1);
     let closing = spawn(owner.node.close());
-    tokio::time::sleep(Duration::from_millis(NOTICE_MS + FAREWELL_MS + 500)).await;
+    tokio::time::sleep(Duration::from_millis(NOTICE_MS + LEAVE_SPREAD_MS + 500)).await;
     fake.release();
     let got = filing.await.expect("an answer");
     assert_eq!(got.field("laburnum-outcome"), "ran");
