--- a/crates/node/src/admin/refusal.rs
+++ b/crates/node/src/admin/refusal.rs
@@ -38,8 +38,8 @@
     /// The body did not arrive in time.
     #[error("the body did not arrive within {millis} ms; send it at once")]
     BodyTimeout { millis: u128 },
-    /// The body ended before its declared length.
-    #[error("the body ended before its declared length; send all of it")]
+    /// The body ended early, such as by a broken connection.
+    #[error("the body ended early; send all of it")]
     BodyTruncated,
     /// The body is not the expected JSON.
     #[error("the body is not valid: {0}; correct the JSON there")]
--- a/crates/node/src/auth.rs
+++ b/crates/node/src/auth.rs
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 struct Rules {
     tokens: Vec<Token>,
-    own: [IpAddr; 2],
+    own_ips: [IpAddr; 2],
     faults: Arc<Faults>,
 }
 
@@ -91,7 +91,7 @@
         }
         Guard(Some(Arc::new(Rules {
             tokens: config.admin_keys.clone(),
-            own: [config.admin.ip(), config.control.ip()].map(|it| it.to_canonical()),
+            own_ips: [config.admin.ip(), config.control.ip()].map(|it| it.to_canonical()),
             faults,
         })))
     }
@@ -126,7 +126,7 @@
 impl Rules {
     fn is_local(&self, Peer(peer): Peer) -> bool {
         let ip = peer.ip().to_canonical();
-        ip.is_loopback() || self.own.contains(&ip)
+        ip.is_loopback() || self.own_ips.contains(&ip)
     }
 
     /// Returns whether the request carries exactly one token, which is valid. All tokens are compared, so that
--- a/crates/node/src/cli/check.rs
+++ b/crates/node/src/cli/check.rs
@@ -119,6 +119,7 @@
 }
 
 /// Allows the public key on loopback only: anybody can seal frames with it and change the fleet's configuration.
+/// The second key must differ from the first.
 fn check_link_keys(values: &Values) -> Vec<Fault> {
     let mut faults = Vec::new();
     let (key, also) = (values.find(&LINK_KEY), values.find(&LINK_KEY_ALSO));
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -58,8 +58,8 @@
     ///
     /// Callers that poll readiness continue to send until they notice the stop.
     pub linger: u64,
-    /// Time before its end at which a stopping node rejects new work for its upstream and notifies other nodes,
-    /// in ms. Default: [`NOTICE_MS`].
+    /// Time before the end of `linger` at which a stopping node rejects new work for its upstream and notifies
+    /// other nodes, in ms. Default: [`NOTICE_MS`].
     pub notice: u64,
     /// Origin of the configuration. Default: submitted.
     pub origin: Origin,
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -40,7 +40,7 @@
     /// Notified when the external source is to be checked for a newer version.
     checks: Arc<Notify>,
     /// Notified when this node starts or stops being a watcher of the external source.
-    turns: Arc<Notify>,
+    watcher_changes: Arc<Notify>,
 }
 
 /// Statistics of the control thread since it started.
@@ -108,7 +108,7 @@
 
     /// Waits until this node may have started or stopped being a watcher of the external source.
     pub async fn watcher_changed(&self) {
-        self.turns.notified().await;
+        self.watcher_changes.notified().await;
     }
 
     /// Returns the newest view.
@@ -153,7 +153,7 @@
             stats: Arc::default(),
             tokens: Arc::default(),
             checks: Arc::default(),
-            turns: Arc::default(),
+            watcher_changes: Arc::default(),
         };
         let seed = settings.incarnation ^ u64::from(settings.node.0.port());
         let driver = Driver {
@@ -311,7 +311,7 @@
         let turn = view.turn;
         let before = self.control.view.swap(view);
         if before.turn != turn {
-            self.control.turns.notify_one();
+            self.control.watcher_changes.notify_one();
         }
     }
 
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -49,7 +49,7 @@
 /// Events after which the node ends, logged at level error.
 const ERRORS: [&str; 1] = ["start-failed"];
 
-/// Logs one line: `event=<name> key=value ...`. Values with spaces or quotes are quoted.
+/// Logs one line: `event=<name> key=value ...`. Values that need it are quoted.
 pub fn event(name: &str, pairs: &[(&str, String)]) {
     log::log!(target: TARGET, level(name), "{}", line(name, pairs));
 }
--- a/crates/node/src/metrics/table.rs
+++ b/crates/node/src/metrics/table.rs
@@ -286,8 +286,8 @@
 }
 
 fn connections(source: &Source) -> Vec<Point> {
-    let points = sockets(source).into_iter().flat_map(|(socket, lines)| {
-        let gauges = lines.gauges();
+    let points = sockets(source).into_iter().flat_map(|(socket, open)| {
+        let gauges = open.gauges();
         let states = [("busy", gauges.busy), ("idle", gauges.idle)];
         states.map(|(state, value)| Point {
             labels: vec![("socket", socket), ("state", state)],
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -51,7 +51,7 @@
     /// The link's sockets cannot be opened.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// The metrics registry rejects them.
+    /// The metrics cannot be registered.
     #[error("cannot register the metrics: {0}; update the node")]
     Metrics(#[from] OTelSdkError),
     /// The settings would expose a socket to unauthenticated peers.
@@ -91,8 +91,8 @@
 /// Interval at which a draining node checks for requests in progress.
 const DRAIN_POLL: Duration = Duration::from_millis(5);
 
-/// Part of the grace period, as its divisor, that is reserved for the answers_due answers and for notifying other
-/// nodes.
+/// Part of the grace period, as its divisor, that is reserved for answering requests that are still pending and
+/// for notifying other nodes.
 const LAST_SHARE: u32 = 15;
 
 impl Node {
@@ -264,7 +264,7 @@
         self.traffic.drain();
         sleep(notice).await;
         // Requests at the upstream may call other services through this node, so callers are served until the
-        // answers_due one is done.
+        // last of them is done.
         let _ = timeout_at(answers_due, upstream_idle(&self.traffic)).await;
         let mut callers = pin!(self.callers.close());
         if timeout_at(answers_due, &mut callers).await.is_err() {
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -1,8 +1,9 @@
 //! Saves the upstream's last heartbeat in the platform's table for the node's next process.
 //!
 //! A restarted node can use its upstream at once instead of waiting for the next heartbeat. If the upstream has
-//! ended meanwhile, nothing wrong runs: its address refuses connections, or another instance there rejects the
-//! request. Each start of the upstream is written once.
+//! ended meanwhile, no request runs at a wrong process: its address refuses connections, or another instance
+//! there rejects the request. The row is written when the announcement changes or the store was restored, not
+//! for each heartbeat.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -46,7 +47,7 @@
     era: Option<Era>,
 }
 
-/// Restores the saved heartbeat, then keeps the row up to date until the node is dropped.
+/// Restores the saved heartbeat, then keeps the row up to date until the last handle of `upstream` is dropped.
 pub async fn run(platform: Arc<dyn Platform>, node: NodeId, upstream: Upstream) {
     let heartbeats = upstream.saved();
     let mut row = Row {
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -271,7 +271,7 @@
         self.update_gate(&self.view());
     }
 
-    /// Answers every pending request of a caller: "not run" if it was not forwarded yet, else "unknown".
+    /// Answers every pending request of a caller: "not run" if no attempt can have run it, else "unknown".
     pub fn answer_pending(&self) {
         self.0.stopping.send_replace(true);
     }
@@ -281,8 +281,8 @@
         self.0.stopping.receiver_count()
     }
 
-    /// Returns the number of requests at the upstream beside this node, and of outcomes that are not stored
-    /// yet.
+    /// Returns the number of requests that this node handles as owner, waiting ones included, and of
+    /// settlements in flight.
     pub fn owned(&self) -> usize {
         self.0.owned.load(Ordering::SeqCst)
     }
--- a/crates/node/src/traffic/answer.rs
+++ b/crates/node/src/traffic/answer.rs
@@ -171,7 +171,7 @@
         if let Payload::Streamed(_, broken) = payload
             && broken.load(Ordering::SeqCst)
         {
-            // The caller's connection broke, not the upstream's.
+            // The request's body failed first, which is no fault of the upstream.
             return Denial::unknown(
                 "body-cut",
                 "the request body ended early; send the request again with its whole body",
--- a/crates/node/src/traffic/body.rs
+++ b/crates/node/src/traffic/body.rs
@@ -26,10 +26,8 @@
         "the body is longer than limits.body of the service's document; send a shorter body or raise that limit"
     )]
     TooLong,
-    /// Ended before its declared length, or its connection broke.
-    #[error(
-        "the body ended before its declared length; send the request again with its whole body"
-    )]
+    /// Ended early: short of its declared length, or because its connection broke.
+    #[error("the body ended early; send the request again with its whole body")]
     Cut,
     /// Not complete at the deadline.
     #[error(
@@ -240,7 +238,7 @@
         ReclaimableBody(Arc::new(Mutex::new(Reading::Untouched(body))))
     }
 
-    /// Takes the body back if nothing was read; reading from other clones then fails.
+    /// Takes the body back if nothing was read, or else drops it; reading from other clones then fails.
     pub fn reclaim(&self) -> Option<Body> {
         let mut reading = self.lock();
         match std::mem::replace(&mut *reading, Reading::Taken) {
--- a/crates/node/src/traffic/entry.rs
+++ b/crates/node/src/traffic/entry.rs
@@ -264,7 +264,8 @@
         }
         let deadline = self.instant(plan.deadline);
         let short = hint.exact().filter(|it| *it <= BUFFERED_MAX);
-        // Without budget left, the body is streamed and the request cannot be retried once it is read.
+        // Other bodies, and short ones for which no budget is left, are streamed: once a part is read, the
+        // request cannot be retried.
         if let Some(share) = short.and_then(|it| self.0.buffered.take(it)) {
             let bytes = body::collect(incoming, limit, deadline).await;
             return Ok(Payload::Buffered {
@@ -276,7 +277,7 @@
         let recorded = fault.clone();
         let bounded = Bounded::new(incoming, limit, deadline, move |end| {
             if let End::Failed(fault) = end {
-                // `ended` is called once, so the cell is empty.
+                // `Bounded` calls this closure at most once, so the cell is empty.
                 let _ = recorded.set(fault);
             }
         });
--- a/crates/node/src/traffic/gate.rs
+++ b/crates/node/src/traffic/gate.rs
@@ -146,7 +146,8 @@
         }
     }
 
-    /// Checks whether a request with `ranked` would be admitted now. Always `Ok` with submitted documents.
+    /// Returns the refusal that a request with `ranked` would get now; `Ok` if it would run or wait. Always `Ok`
+    /// with submitted documents.
     pub fn check(&self, ranked: RankedRequest) -> Result<(), Refusal> {
         match &mut self.lock().policy {
             Policy::Shares(_) => Ok(()),
--- a/crates/node/src/traffic/owner.rs
+++ b/crates/node/src/traffic/owner.rs
@@ -54,7 +54,8 @@
 
 /// Largest body that is read whole before the request is processed, in bytes.
 const WHOLE_MAX: u64 = 64 * 1024;
-/// Maximum number of connections tried for one request while none has taken a byte of it.
+/// Maximum number of connections tried for one request; another is tried only if the last one was closed before
+/// a byte was written, or was abandoned.
 const CONNECTIONS_MAX: usize = 4;
 /// Retry delay for an upstream that drains, in ms: long enough for its new phase to reach the entries.
 const DRAINING_MS: u64 = 2_000;
@@ -477,8 +478,8 @@
         Err(not_ready())
     }
 
-    /// Waits for the permit to run if the request is suspected of a crash. Suspects run one at a time, so that
-    /// a second crash identifies the cause.
+    /// Obtains the permit to run if the request is suspected of a crash. Suspects run one at a time, so that a
+    /// second crash identifies the cause.
     async fn suspect_permit(&self, job: &Job, limit: Instant) -> Result<Option<Suspect>, Denial> {
         if !self.view().quarantined.is_suspect(job.fingerprint) {
             return Ok(None);
@@ -507,7 +508,8 @@
         }
     }
 
-    /// Waits for the header of the answer; returns [`Sent::Silent`] if a silent connection is to be abandoned.
+    /// Waits for the header of the answer; returns [`Sent::Silent`] at `limit`, or earlier if the connection is to
+    /// be abandoned.
     ///
     /// A connection is only abandoned if it was reused, the request is idempotent and buffered, and the
     /// upstream answers a probe on a new connection, so that a slow upstream keeps its work. With an imported
--- a/crates/node/src/traffic/plan.rs
+++ b/crates/node/src/traffic/plan.rs
@@ -39,7 +39,7 @@
 pub(super) struct Plan {
     pub(super) service: Arc<Service>,
     pub(super) name: Name,
-    /// Host name that the upstream receives as the one the caller asked for.
+    /// Value of the Host header that the upstream receives.
     pub(super) authority: Arc<str>,
     pub(super) document: Arc<Document>,
     /// Maximum attempts and budget for retries.
--- a/crates/node/src/traffic/proof.rs
+++ b/crates/node/src/traffic/proof.rs
@@ -2,7 +2,7 @@
 //!
 //! The proof is `<bucket>.<tag>`: the time in steps of [`STEP_MS`], and the keyed BLAKE3 hash over that step,
 //! the receiver's address, the method, the path and the fields in `COVERED`. The key itself is not sent. The
-//! body, the caller's own fields and the answer are not covered; docs/SECURITY.md describes the consequences.
+//! body, all other fields and the answer are not covered; docs/SECURITY.md describes the consequences.
 
 use std::net::SocketAddr;
 
@@ -33,7 +33,7 @@
         "no valid laburnum-proof: this port only serves other nodes; send callers' requests to the --caller address, and update nodes of older versions"
     )]
     Absent,
-    /// The proof's time step is not the present one.
+    /// The proof's time step is more than one away from this node's.
     #[error(
         "the proof's time differs from this node's: synchronize the clocks of both hosts and restart their nodes"
     )]
--- a/crates/node/src/traffic/report.rs
+++ b/crates/node/src/traffic/report.rs
@@ -1,8 +1,8 @@
 //! Log lines about requests and the decisions on them.
 //!
-//! An entry logs `request` when a request ends and `attempt` for each attempt at an owner that did not serve
-//! it; an owner logs `owned` for each request that it did not serve. All lines carry the request's id, so a
-//! request can be traced through the logs of several nodes.
+//! Only used with an imported configuration. An entry logs `request` when a request ends and `attempt` for each
+//! attempt at an owner that did not serve it; an owner logs `owned` for each request that it did not serve. All
+//! lines carry the request's id, if it has one, so it can be traced through the logs of several nodes.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -93,7 +93,7 @@
 }
 
 impl RequestLog {
-    /// Logs `request`, subject to sampling.
+    /// Logs the event `request`, subject to sampling.
     pub fn log_request(&self, now: Ms, it: &EndedRequest<'_>) {
         let kind = match it.status.is_success() {
             true => Kind::Success,
@@ -126,7 +126,7 @@
         logs::event("request", &pairs);
     }
 
-    /// Logs `attempt`, subject to sampling.
+    /// Logs the event `attempt`, subject to sampling.
     pub fn log_attempt(&self, now: Ms, it: &FailedAttempt<'_>) {
         let Some(omitted) = admit(&self.attempts, now, Kind::Failure) else {
             return;
@@ -144,7 +144,7 @@
         logs::event("attempt", &pairs);
     }
 
-    /// Logs `owned`, subject to sampling.
+    /// Logs the event `owned`, subject to sampling.
     pub fn log_unserved(&self, now: Ms, it: &UnservedRequest<'_>) {
         let Some(omitted) = admit(&self.owned, now, Kind::Failure) else {
             return;
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -200,7 +200,7 @@
         self.apply(it, None)
     }
 
-    /// Applies a heartbeat. Late heartbeats of a process that was replaced are ignored.
+    /// Applies a heartbeat. Late and repeated ones, and those of a replaced process, are ignored.
     pub fn heartbeat(&self, it: Heartbeat) -> Result<(), Closed> {
         let now = self.0.clock.now();
         let verdict = lock(&self.0.instances).heartbeat(now, &it.start, it.sequence);
@@ -257,8 +257,8 @@
         }
     }
 
-    /// Handles an answer of another instance at the upstream's address: nothing is sent there until that
-    /// instance announces itself.
+    /// Handles an answer of another instance at the upstream's address: nothing is sent there until the next
+    /// announcement.
     pub fn withdraw_replaced(&self) {
         logs::event("upstream", &[("state", "replaced".to_owned())]);
         // A closed control thread needs no update.
@@ -366,7 +366,8 @@
         }
     }
 
-    /// Returns whether the upstream answers a health check on a new connection now.
+    /// Returns whether the upstream answers a health check on a new connection now; with [`Polling::Never`],
+    /// whether it accepts the connection.
     pub async fn probe(&self) -> bool {
         let Some(active) = self.active() else {
             return false;
--- a/crates/node/tests/promises.rs
+++ b/crates/node/tests/promises.rs
@@ -19,7 +19,7 @@
 use laburnum_node::{Config, Node, traffic::proof::Proofs, upstream::Announcement};
 use tokio::net::TcpStream;
 
-/// A platform that does not answer.
+/// A platform whose operations all fail as unavailable.
 struct UnavailablePlatform;
 
 impl Platform for UnavailablePlatform {
