--- a/crates/kernel/src/accept.rs
+++ b/crates/kernel/src/accept.rs
@@ -2,8 +2,8 @@
 //!
 //! Rows: `head` holds the last [`Seq`], `log/<seq>` an [`Entry`], `service/<name>` the newest document and
 //! `snapshot` the name of the newest snapshot. One transaction writes a whole batch, on the condition that
-//! `log/<seq>` is absent and the entry before it exists. All writers of these rows check this condition, so a
-//! committer has read and decided on everything before its position.
+//! `log/<seq>` is absent and the entry before it exists. All writers of rows but `snapshot` check this condition, so
+//! a committer has read and decided on everything before its position.
 
 mod audit;
 mod commit;
--- a/crates/kernel/src/accept/commit.rs
+++ b/crates/kernel/src/accept/commit.rs
@@ -42,7 +42,8 @@
 struct Waiting {
     checked: Checked,
     origins: Vec<Origin>,
-    /// Time of arrival, or of the last write with an unknown outcome. Only a later read of the log counts.
+    /// Time of arrival, or at which the outcome of the last write was found to be unknown. Only a read of the log that
+    /// started later shows what was committed before.
     since: Ms,
     deadline: Ms,
     prior_write: PriorWrite,
--- a/crates/kernel/src/accept/forward.rs
+++ b/crates/kernel/src/accept/forward.rs
@@ -1,7 +1,7 @@
 //! Forwards submissions to the region's committer.
 //!
-//! Forwarding gathers the submissions of a region into few transactions. Safety does not depend on it: any node may
-//! commit, and must read the log first, which holds a submission that another node committed.
+//! Forwarding gathers the submissions of a region into few transactions. Safety does not depend on it: a node that
+//! commits in place of the committer reads the log first, where it finds what others have committed.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/kernel/src/accept/snapshots.rs
+++ b/crates/kernel/src/accept/snapshots.rs
@@ -42,7 +42,7 @@
 /// Time until a retry, in ms.
 const RETRY: u64 = 10_000;
 
-/// Starts a snapshot if this node committed [`SNAPSHOT_EVERY`] batches after the newest one.
+/// Starts a snapshot if the last batch that this node committed is [`SNAPSHOT_EVERY`] positions after the newest one.
 pub(super) fn start_if_due(cx: &mut Context<'_>, state: &mut State) {
     let committed = state.accept.queue.committed();
     let it = &mut state.accept.snapshots;
--- a/crates/kernel/src/admission.rs
+++ b/crates/kernel/src/admission.rs
@@ -182,7 +182,7 @@
         Offer::Wait(self.enqueue(now, request))
     }
 
-    /// Returns a permit and starts waiting requests in the freed slot.
+    /// Takes back a permit and starts waiting requests in the freed slot.
     pub fn done(&mut self, now: Ms, permit: Permit, finish: Finish, out: &mut Vec<Wake>) {
         let class = permit.class;
         let took = now.since(permit.started);
--- a/crates/kernel/src/admission/ranks.rs
+++ b/crates/kernel/src/admission/ranks.rs
@@ -104,7 +104,7 @@
     /// Starts in a free slot.
     Slot(Entry),
     /// Waits behind other requests.
-    WaitLimit(Entry),
+    Wait(Entry),
 }
 
 /// Whether a request can still reach its goal. Timely requests sort first.
@@ -132,7 +132,7 @@
     pub fn offer(&mut self, now: Ms, request: RankedRequest) -> Offer {
         let entry = match self.decide(now, request) {
             Ok(Decision::Slot(it)) => return Offer::Run(self.start(now, it)),
-            Ok(Decision::WaitLimit(it)) => it,
+            Ok(Decision::Wait(it)) => it,
             Err(refusal) => return Offer::Refuse(refusal),
         };
         let rank = entry.rank;
@@ -148,7 +148,7 @@
         self.decide(now, request).map(drop)
     }
 
-    /// Returns a permit and starts waiting requests in the freed slot.
+    /// Takes back a permit and starts waiting requests in the freed slot.
     pub fn done(&mut self, now: Ms, permit: Permit, finish: Finish, out: &mut Vec<Wake>) {
         self.observe(now);
         let took = match finish {
@@ -281,7 +281,7 @@
         let max_wait = self.max_wait(now, request, service);
         match wait > max_wait {
             true => Err(Refusal::after(Reason::Overloaded, wait - max_wait)),
-            false => Ok(Decision::WaitLimit(entry)),
+            false => Ok(Decision::Wait(entry)),
         }
     }
 
--- a/crates/kernel/src/connections.rs
+++ b/crates/kernel/src/connections.rs
@@ -9,7 +9,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Key {
     slot: u32,
-    /// Number of earlier connections in the slot. Requests may outlive their connection.
+    /// Number of earlier connections in the slot, so that a request that outlives its connection is not counted for a
+    /// later one.
     generation: u32,
 }
 
--- a/crates/kernel/src/document/table.rs
+++ b/crates/kernel/src/document/table.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The sections of the list under `key`, absent counting as empty.
+    /// Returns the sections of the list under `key`, empty if absent.
     pub fn list(
         &self,
         faults: &mut Faults<'_>,
--- a/crates/kernel/src/guard.rs
+++ b/crates/kernel/src/guard.rs
@@ -67,7 +67,7 @@
     pub node: NodeId,
     /// Time of the crash by that node's clock; identifies the crash together with the node.
     pub time: Ms,
-    /// Fingerprints of the requests in flight, without duplicates.
+    /// Fingerprints of the requests in flight, at most [`PRINTS_MAX`].
     pub prints: Vec<Fingerprint>,
 }
 
--- a/crates/kernel/src/guard/gossip.rs
+++ b/crates/kernel/src/guard/gossip.rs
@@ -127,8 +127,8 @@
     state: &State,
     predicate: impl Fn(&members::Record) -> bool,
 ) -> Vec<NodeId> {
-    let ready = state.members.alive();
-    ready
+    let alive = state.members.alive();
+    alive
         .filter(|it| it.id != cx.settings.node && predicate(it))
         .map(|it| it.id)
         .collect()
--- a/crates/kernel/src/log.rs
+++ b/crates/kernel/src/log.rs
@@ -124,10 +124,10 @@
     tail_bytes: usize,
 }
 
-/// Maximum number of batches that are retained for lagging peers.
+/// Maximum number of batches that are retained, for the diff and the author in the verdict on a conflict.
 pub const TAIL_MAX: usize = 1024;
 
-/// Maximum size of the documents in the batches that are retained for lagging peers, in bytes.
+/// Maximum size of the documents in the retained batches, in bytes.
 pub const TAIL_BYTES: usize = 4 << 20;
 
 /// Maximum number of submission ids that are retained to recognise repeated submissions; the oldest are dropped.
@@ -167,7 +167,8 @@
         hash64(&[&self.seq.0.to_le_bytes(), &self.hash_sum.to_le_bytes()])
     }
 
-    /// Returns the batches after `seq`, in order, or `None` if not all of them are retained.
+    /// Returns the batches after `seq`, in order, or `None` if not all of them are retained. An [`Advance`] is retained
+    /// as one batch at its last position.
     pub fn batches_after(&self, seq: Seq) -> Option<Vec<Arc<Batch>>> {
         let first = self.tail.front().map_or(self.seq.0 + 1, |it| it.seq.0);
         if seq.0.saturating_add(1) < first {
--- a/crates/kernel/src/once/bucket.rs
+++ b/crates/kernel/src/once/bucket.rs
@@ -72,7 +72,7 @@
 enum RowState {
     #[default]
     Unknown,
-    /// The row at `version`, read when `read_number` was the number of the last request.
+    /// The row at `version`, read or written when `read_number` was the number of the last request.
     Loaded {
         version: u64,
         ledger: Ledger,
@@ -127,7 +127,7 @@
         self.size + self.sealer.footprint()
     }
 
-    /// Returns whether the bucket takes no new claims. Logs a warning well before that.
+    /// Returns whether the bucket takes no new claims. Logs the fill level from [`WARN_PERCENT`] on.
     fn is_full(&mut self, cx: &mut Context<'_>, id: u16) -> bool {
         let used = (self.size * 100 / ROW_MAX).max(self.sealer.key_count() * 100 / INDEX_MAX);
         if used >= WARN_PERCENT && cx.now.since(self.last_warning) > WARN_MS {
--- a/crates/kernel/src/once/bucket/pace.rs
+++ b/crates/kernel/src/once/bucket/pace.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether other nodes write the same row.
+/// Whether recent writes conflicted or were throttled, mostly because other nodes write the same row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Contended {
     Yes,
--- a/crates/kernel/src/once/holder.rs
+++ b/crates/kernel/src/once/holder.rs
@@ -17,7 +17,7 @@
     utils::rendezvous,
 };
 
-/// Initial time until an unacknowledged outcome is sent again, in ms; it doubles with each attempt.
+/// Initial time until an unacknowledged outcome is sent again, in ms; it doubles with each of the first three resends.
 const RESEND_MS: u64 = 700;
 
 /// Maximum time until an unacknowledged outcome is sent again, in ms.
@@ -39,7 +39,7 @@
 /// Maximum number of abandoned attempts that are remembered.
 const ABANDONED_MAX: usize = 4_096;
 
-/// Time after which callers should retry if the fault names none, in ms.
+/// Minimum time after which callers should retry, in ms.
 const RETRY_MS: u64 = 250;
 
 /// Claims without a verdict and outcomes that are not stored yet.
@@ -302,7 +302,7 @@
         );
     }
     for it in to_deputy {
-        // A second writer would slow a slow table further.
+        // If this node is the owner, it waits for the table, which a second writer would slow further.
         if target(cx, state, &it.key, Recipient::Owner) != cx.settings.node {
             send_claim(cx, state, it, Recipient::Deputy);
         }
--- a/crates/kernel/src/once/ledger.rs
+++ b/crates/kernel/src/once/ledger.rs
@@ -79,7 +79,7 @@
     Lost,
 }
 
-/// Outcome of a request; its answer is already stored.
+/// Outcome of a request. An answer in an object is stored before the outcome is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The request ran.
@@ -168,7 +168,7 @@
         (Verdict::Granted, Effect::Changed)
     }
 
-    /// Stores an outcome. Only the attempt that holds the claim changes it, and only once.
+    /// Stores an outcome of the attempt that holds the claim. An answer may follow an unknown outcome or a decision.
     pub(super) fn settle(&mut self, settlement: &Settlement) -> Effect {
         let matches_attempt =
             |it: &Entry| it.key == settlement.key && it.attempt == settlement.attempt;
@@ -221,7 +221,8 @@
         Effect::Changed
     }
 
-    /// Drops claims and segments older than the retention. Returns the objects that are no longer needed.
+    /// Drops settled and released claims and segments older than the retention. Returns the objects that are no longer
+    /// needed.
     pub(super) fn expire(&mut self, now: Ms, retention: u64) -> Vec<String> {
         let is_old = |time: Ms| now.since(time) > retention;
         let mut names = Vec::new();
--- a/crates/kernel/src/pick.rs
+++ b/crates/kernel/src/pick.rs
@@ -106,8 +106,8 @@
 
     /// Updates the service's endpoints and its warm-up time `ramp`, in ms, from the view.
     ///
-    /// Statistics are kept per incarnation of an endpoint. Endpoints that are new start cold, except those of the first
-    /// call, which ran before this entry knew them.
+    /// Statistics are kept per incarnation of an endpoint. New endpoints start cold, unless the picker had none: then
+    /// they probably ran before this entry knew them.
     pub fn refresh(&mut self, now: Ms, endpoints: &[Endpoint], ramp: u64) {
         self.ramp = ramp;
         let mut previous: HashMap<NodeId, Member> = std::mem::take(&mut self.members)
--- a/crates/kernel/src/pick/placement.rs
+++ b/crates/kernel/src/pick/placement.rs
@@ -1,8 +1,8 @@
 //! Load balancing at the entry for requests with a latency goal.
 //!
-//! A request leaves its availability zone, which costs money per byte, only if no endpoint of its own zone and some
-//! endpoint of another zone is expected to reach the goal. Expected times come from the outlooks that owners report
-//! ([`Outlook`]), discounted by age, plus the requests that this entry has sent since.
+//! A request leaves its availability zone, which costs money per byte, only if the zone has no usable endpoint, or none
+//! that is expected to reach the goal while one of another zone is. Expected times come from the outlooks that owners
+//! report ([`Outlook`]), discounted by age, plus the requests that this entry has sent since.
 
 use std::collections::HashMap;
 
