--- a/crates/bench/src/converge.rs
+++ b/crates/bench/src/converge.rs
@@ -93,7 +93,7 @@
 /// Maximum wait for a condition on the fleet, in ms.
 const WAIT_MS: u64 = 60_000;
 
-/// Rate limits of the platform, in calls per second.
+/// Rate limits of the platform, in rows per second.
 const READS_PER_SECOND: u64 = 2_000;
 const WRITES_PER_SECOND: u64 = 500;
 
--- a/crates/bench/src/converge/cost.rs
+++ b/crates/bench/src/converge/cost.rs
@@ -35,9 +35,9 @@
     pub link_worst_minute: f64,
     /// Part of `link_mean` that distributes configuration.
     pub spread_mean: f64,
-    /// Read from the platform, mean over the nodes.
+    /// Exchanged with the platform by reads, mean over the nodes.
     pub read_mean: f64,
-    /// Written to the platform to accept changes, mean over the nodes.
+    /// Exchanged with the platform by writes, mean over the nodes.
     pub written_mean: f64,
 }
 
--- a/crates/bench/src/load/arrivals.rs
+++ b/crates/bench/src/load/arrivals.rs
@@ -51,7 +51,7 @@
 const REPEAT_DELAY_MAX: u64 = 400_000;
 const SECOND: f64 = 1e6;
 
-/// Returns Poisson arrivals of every flow over `millis`, ordered by due time.
+/// Returns Poisson arrivals of every flow over `millis`, ordered by due time; repetitions may be due later.
 pub fn schedule(flows: &[Flow], millis: u64, seed: u64) -> Vec<Arrival> {
     let end = millis * 1_000;
     let mut arrivals = Vec::new();
--- a/crates/bench/src/load/tally.rs
+++ b/crates/bench/src/load/tally.rs
@@ -23,7 +23,8 @@
     pub outcome: Outcome,
 }
 
-/// Counts and latencies of the measured time, from `begin` to `end` in microseconds since the run's start.
+/// Goodput of the time from `begin` to `end`, and counts and latencies of the requests due from `begin` on. Times are
+/// in microseconds from the start of the run.
 #[derive(Debug)]
 pub struct Tally {
     begin: u64,
@@ -33,7 +34,7 @@
     counts: Counts,
 }
 
-/// Numbers of requests due in the measured time, by outcome.
+/// Numbers of requests due after the warm-up, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// All requests.
@@ -60,15 +61,15 @@
     pub verdict: Verdict,
     /// Retries per request sent.
     pub retry_share: f64,
-    /// 99th percentile of each class's latency in ms, of answered requests only.
+    /// 99th percentile of each class's latency in ms, of requests that ran and were answered.
     pub class_p99_ms: BTreeMap<&'static str, f64>,
-    /// Median of each class's latency in ms, of answered requests only.
+    /// Median of each class's latency in ms, of requests that ran and were answered.
     pub class_p50_ms: BTreeMap<&'static str, f64>,
     /// Interactive p99 minus that of the baseline in the same case, in ms.
     pub added_p99_ms: Option<f64>,
     /// All requests, including those before the measured time.
     pub requests: u64,
-    /// Requests due in the measured time, by outcome.
+    /// Requests due after the warm-up, by outcome.
     pub counts: Counts,
 }
 
@@ -121,12 +122,12 @@
         self.in_time as f64 * 1e6 / (self.end - self.begin) as f64
     }
 
-    /// Returns the counts of requests due in the measured time.
+    /// Returns the counts of requests due from `begin` on.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Returns the `share` quantile of the latency in ms, of every class with answers.
+    /// Returns the `share` quantile of the latency in ms, of every class with requests that ran.
     pub fn quantiles(&self, share: f64) -> BTreeMap<&'static str, f64> {
         let value = |it: &Histogram<u64>| it.value_at_quantile(share) as f64 / 1e3;
         self.latencies
--- a/crates/bench/src/watch.rs
+++ b/crates/bench/src/watch.rs
@@ -27,7 +27,7 @@
 /// Results of a monitor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Findings {
-    /// Number of polls of a node whose view went back to a lower position.
+    /// Number of polls of a node whose view went back, or was ready below a position at which it was ready before.
     pub steps_back: u64,
     /// Number of views with a route to an absent service, counted once per node and position.
     pub dangling: u64,
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -21,7 +21,7 @@
 
 use crate::{cli::Target, report::Outcome};
 
-/// Timeout of connecting.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of a whole exchange; longer than the node's own timeouts.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
@@ -43,7 +43,7 @@
     /// Connecting failed; nothing was sent.
     #[error("cannot reach the node at {node}: {why}; start it, or name another with --node")]
     Connect { node: SocketAddr, why: String },
-    /// The request was sent, but the connection failed before the answer was complete.
+    /// The connection failed before the answer was complete, or the answer was too long; the request may have run.
     #[error(
         "the connection to the node at {node} failed before its answer was complete: {why}; retry, or name another node with --node"
     )]
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -12,13 +12,14 @@
 pub enum Outcome {
     /// The command succeeded.
     Done = 0,
-    /// The node rejected the request, or a file has faults.
+    /// The node rejected the request, a file cannot be read or has faults, or the logs do not hold the request.
     Refused = 1,
     /// The command line is invalid.
     Usage = 2,
     /// Another change was accepted first.
     Conflict = 3,
-    /// There was no answer in time; the request may or may not have taken effect.
+    /// The node was unavailable, or the result was not known in time; the output says whether the request may have
+    /// taken effect.
     Unavailable = 4,
 }
 
--- a/crates/edge/src/clock.rs
+++ b/crates/edge/src/clock.rs
@@ -10,7 +10,7 @@
 
 use laburnum_kernel::Ms;
 
-/// Returns the time in milliseconds; never runs backwards. Clones share one source.
+/// A clock in milliseconds that never runs backwards. Clones share one source of time.
 #[derive(Clone, Debug)]
 pub struct Clock(Arc<Source>);
 
--- a/crates/edge/src/http.rs
+++ b/crates/edge/src/http.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// A client of the platform's HTTP service. Calls must be made in_range a tokio runtime.
+/// A client of the platform's HTTP service. Calls must be made inside a tokio runtime.
 #[derive(Debug)]
 pub struct HttpPlatform {
     settings: HttpSettings,
--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/link.rs
@@ -110,7 +110,8 @@
     pub unsent: u64,
     /// Frames that failed authentication or could not be decoded.
     pub strange: u64,
-    /// Frames rejected as replays: received before, or from an earlier start of their sender.
+    /// Frames rejected as replays: received before, older than the replay window, or from an earlier start of their
+    /// sender.
     pub replayed: u64,
 }
 
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -18,7 +18,7 @@
     /// Executes one operation on the object store.
     fn object(&self, op: ObjectOp) -> AnswerFuture<'_, ObjectAnswer>;
 
-    /// Returns the era of the newest answer; `None` before the first answer, and for platforms that do not report
+    /// Returns the newest era seen in an answer; `None` before the first answer, and for platforms that do not report
     /// an era.
     fn era(&self) -> Option<Era> {
         None
--- a/crates/edge/src/token.rs
+++ b/crates/edge/src/token.rs
@@ -8,9 +8,9 @@
 #[derive(Clone)]
 pub struct Token(String);
 
-/// Minimum length_ok of a token in bytes.
+/// Minimum length of a token in bytes.
 pub const TOKEN_MIN: usize = 16;
-/// Maximum length_ok of a token in bytes.
+/// Maximum length of a token in bytes.
 pub const TOKEN_MAX: usize = 256;
 
 /// The text is not a valid token. The message omits the text, which may contain most of a secret.
--- a/crates/standin/src/cli.rs
+++ b/crates/standin/src/cli.rs
@@ -19,12 +19,20 @@
     "none, refuse (answer 503) or hang (never answer).",
 )
 .default("none");
-const SLOW: Setting<u64> = Setting::new("--slow", "N", "From an operation's effect to its answer.")
-    .default("0")
-    .unit("ms");
-const LATE: Setting<u64> = Setting::new("--late", "N", "From a call to its operation's effect.")
-    .default("0")
-    .unit("ms");
+const SLOW: Setting<u64> = Setting::new(
+    "--slow",
+    "N",
+    "Delay from an operation's effect to its answer.",
+)
+.default("0")
+.unit("ms");
+const LATE: Setting<u64> = Setting::new(
+    "--late",
+    "N",
+    "Delay from a call to its operation's effect.",
+)
+.default("0")
+.unit("ms");
 const LOST: Setting<Share> = Setting::new(
     "--lost",
     "SHARE",
@@ -64,22 +72,27 @@
 const QUEUE: Setting<u16> = Setting::new(
     "--queue",
     "N",
-    "Requests that wait for a slot before others are shed.",
+    "Requests that may wait for a slot; further ones are shed.",
 )
 .default("0");
-const RUN: Setting<u64> = Setting::new("--run", "N", "Least service time.")
-    .default("0")
-    .unit("ms");
-const SPREAD: Setting<u64> = Setting::new("--spread", "N", "Most added to the service time.")
+const RUN: Setting<u64> = Setting::new("--run", "N", "Minimum service time.")
     .default("0")
     .unit("ms");
-const COLD: Setting<u64> = Setting::new("--cold", "N", "From a start until it is ready.")
+const SPREAD: Setting<u64> = Setting::new(
+    "--spread",
+    "N",
+    "Maximum random time added to the service time.",
+)
+.default("0")
+.unit("ms");
+const COLD: Setting<u64> = Setting::new("--cold", "N", "Warm-up time after a start.")
     .default("0")
     .unit("ms");
-const RESTART: Setting<u64> = Setting::new("--restart", "N", "From a crash until it is back.")
-    .default("500")
-    .unit("ms");
-const HEARTBEAT: Setting<u64> = Setting::new("--heartbeat", "N", "Between two announcements.")
+const RESTART: Setting<u64> =
+    Setting::new("--restart", "N", "Time from a crash to the next start.")
+        .default("500")
+        .unit("ms");
+const HEARTBEAT: Setting<u64> = Setting::new("--heartbeat", "N", "Interval between announcements.")
     .default("1000")
     .unit("ms");
 
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -188,7 +188,7 @@
         self.shared.silence();
     }
 
-    /// Simulates a crash and a start after the restart delay. Has no effect while the upstream is down.
+    /// Simulates a crash and a start after the restart delay. An upstream that is down crashes again when it starts.
     pub fn crash(&self) {
         self.shared.crash.notify_one();
     }
--- a/crates/standin/src/upstream/work.rs
+++ b/crates/standin/src/upstream/work.rs
@@ -35,7 +35,7 @@
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Header field that crashes the upstream at the start of the run if its value is `1`.
 pub const CRASH: &str = "x-crash";
-/// Header field with the time left for the request, in ms; one that waits longer is refused as not run.
+/// Header field with the time left for the request, in ms; a request that waits longer is refused as not run.
 pub const DEADLINE: &str = "laburnum-deadline";
 /// Header field that is `not-run` in refusals.
 pub const OUTCOME: &str = "laburnum-outcome";
