--- a/crates/kernel/examples/members_fleet.rs
+++ b/crates/kernel/examples/members_fleet.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo run --release -p laburnum-kernel --example members_fleet -- [nodes, default 680]`
 //!
-//! Every node is a kernel; datagrams take 1 to 2 ms. The nodes of 17 zones start within one second.
+//! Every node is a kernel; datagrams take 1 to 2 ms. The nodes, in 17 zones, start at once.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/crates/kernel/src/clock.rs
+++ b/crates/kernel/src/clock.rs
@@ -1,4 +1,4 @@
-//! Milliseconds, the only unit of time in the system.
+//! Points in time, in milliseconds.
 
 use std::ops::{Add, Sub};
 
--- a/crates/kernel/src/event.rs
+++ b/crates/kernel/src/event.rs
@@ -100,7 +100,7 @@
     Once(once::Call),
     /// Crashes and quarantines.
     Guard(guard::Call),
-    /// Sequence number that each node holds.
+    /// Queries which nodes lack the newest configuration.
     Status,
 }
 
@@ -155,13 +155,13 @@
     Imported,
     /// This node, as a committer, proposes this sequence number to the table.
     Proposed { seq: Seq },
-    /// A committer accepted changes up to this sequence number.
+    /// The table holds changes that this node, as a committer, committed up to this sequence number.
     Accepted { seq: Seq },
-    /// The configuration has caught up with the other nodes or the table; raised once in a process.
+    /// This process became ready to serve; raised once.
     Ready,
-    /// The set of members or a member's phase changed.
+    /// The set of members, a member's record or its reachability changed.
     Members,
-    /// This node's own record changed.
+    /// This node's own record, its turn to watch the source, or the known era changed.
     Own,
     /// The set of quarantined fingerprints changed.
     Quarantine,
--- a/crates/kernel/src/import.rs
+++ b/crates/kernel/src/import.rs
@@ -1,9 +1,8 @@
 //! Configuration imported from an external source as complete, versioned tables.
 //!
-//! A node with a fast link watches the source ([`Event::Imported`]) and sends each change to its
-//! subscribers (`subscription`). A node with a slow link watches the source only while it has no
-//! publisher. Versions only grow, so a node never returns to an older one within an incarnation,
-//! whichever way a version arrives.
+//! Some nodes always watch the source ([`Event::Imported`]) and send each change to their subscribers
+//! (`subscription`); the others watch it only while they have no publisher ([`Watch`]). Versions only
+//! grow, so a process never returns to an older one.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -38,12 +37,12 @@
 
 inventory::submit! { Plugin { name: "import", order: 16, scope: Scope::Imported, handle } }
 
-/// Longest time that a new process waits for an endpoint of each service before it becomes ready,
-/// in ms.
+/// Longest time that a new process that holds a version waits for its peers and for an endpoint of
+/// each service before it becomes ready, in ms.
 ///
 /// A process that becomes ready too early rejects requests that other nodes could have carried.
-/// Peers answer a join within a few round trips, and upstreams announce themselves within 1.5 s.
 pub const READY_TIMEOUT_MS: u64 = 3_000;
+
 /// When a node watches the source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Watch {
@@ -128,7 +127,8 @@
         now.since(self.answered_at.max(self.started))
     }
 
-    /// Returns the time since the version in force was last confirmed as the newest, in ms.
+    /// Returns the time since the newest known version was last confirmed as the newest, in ms. Until
+    /// that version arrives, an older one is in force.
     pub fn age(&self, now: Ms) -> u64 {
         self.freshness.age(now)
     }
@@ -143,8 +143,8 @@
         self.turn
     }
 
-    /// Returns whether this process holds a configuration and either knows an endpoint of each
-    /// service or has waited [`READY_TIMEOUT_MS`] for one.
+    /// Returns whether this process holds a configuration and either has joined, compared versions
+    /// with a peer and found an endpoint of each service, or waited [`READY_TIMEOUT_MS`].
     pub fn ready(&self) -> bool {
         self.ready
     }
@@ -175,8 +175,9 @@
     }
 }
 
-/// Sends the change since `before` to all subscribers. Versions received from peers are sent on
-/// too: if the source rejects all watchers of a zone, its nodes have no other publisher.
+/// Sends the change since `before` to the subscribers that the source does not answer. Versions
+/// received from peers are sent on too: if the source rejects all watchers of a zone, its nodes have
+/// no other publisher.
 fn push_difference(cx: &mut Context<'_>, state: &State, before: &Table) {
     let table = &state.import.table;
     let targets = state.import.subscriptions.push_targets();
@@ -335,7 +336,7 @@
     }
 }
 
-/// Makes the process ready, once, when it holds a version and knows the endpoints.
+/// Makes the process ready, once, when it holds a version and knows the endpoints or timed out.
 fn update_readiness(cx: &mut Context<'_>, state: &mut State) {
     if state.import.ready || state.import.table.version() == 0 {
         return;
--- a/crates/kernel/src/import/confirmation.rs
+++ b/crates/kernel/src/import/confirmation.rs
@@ -1,10 +1,8 @@
-//! Age of the last confirmation that the version held is the newest.
+//! Age of the last confirmation of which version is the newest.
 //!
-//! A dead feed of the source looks like a feed without changes, so neither the way in which a node
-//! receives versions nor its last message shows that it is out of date; only the age of the last
-//! confirmation does. One watcher of the fleet asks the source, in an order that all watchers know,
-//! and confirmations spread from node to node with their age. A node without a recent one queries
-//! other peers.
+//! A dead feed of the source looks like a feed without changes; only this age shows that a node may
+//! be out of date. The first watcher in a common order asks the source, and its confirmations spread
+//! from node to node with their age. A node without a recent one queries other peers.
 
 use serde::{Deserialize, Serialize};
 
@@ -26,7 +24,7 @@
 /// Age of the last confirmation at which a node queries other peers, in ms. Leaves enough of
 /// [`OVERDUE_MS`] to find a node with the newest version and to get it there.
 pub(super) const QUERY_AGE_MS: u64 = 1_000;
-/// Age of the last confirmation at which the version held may be out of force, in ms: the shortest
+/// Age of the last confirmation at which `config-unconfirmed` is logged, in ms: the shortest
 /// propagation time that operators ask for.
 const OVERDUE_MS: u64 = 2_000;
 /// How long a node waits for a newer version that a peer reported before it queries for it, in ms.
@@ -94,7 +92,7 @@
 }
 
 impl Freshness {
-    /// Returns the time since the version held was confirmed as the newest, in ms.
+    /// Returns the time since the newest known version was confirmed, in ms. It may not be held yet.
     pub(super) fn age(&self, now: Ms) -> u64 {
         now.since(self.confirmed_at)
     }
@@ -196,7 +194,8 @@
     }
 }
 
-/// Asks the source if a check is due, and logs whether the version held may be out of force.
+/// Asks the source if a check is due, and logs when the newest version becomes unconfirmed or is
+/// confirmed again.
 ///
 /// `earlier` is the number of watchers that ask before this one.
 pub(super) fn tick(cx: &mut Context<'_>, state: &mut State, earlier: usize) {
--- a/crates/kernel/src/import/parts.rs
+++ b/crates/kernel/src/import/parts.rs
@@ -10,7 +10,7 @@
 pub const PART_MAX: usize = 48 * 1024;
 /// Maximum number of parts of one version: 4 MiB in total.
 pub(super) const PARTS_MAX: u16 = 85;
-/// Compression level of zstd: the fastest, because a version is compressed once per question.
+/// Compression level of zstd: the fastest, because a version is compressed once per query.
 const ZSTD_LEVEL: i32 = 1;
 
 /// Parts received of a newer version.
--- a/crates/kernel/src/import/query.rs
+++ b/crates/kernel/src/import/query.rs
@@ -24,7 +24,8 @@
     utils::rendezvous,
 };
 
-/// Mean time between two queries of a watcher that the source answers, in ms.
+/// Time between two queries of a watcher that the source answers, in ms; up to a quarter less by
+/// jitter.
 const QUERY_DIRECT_MS: u64 = 2_000;
 /// The same for a node without a publisher or a recent confirmation, in ms.
 const QUERY_UNINFORMED_MS: u64 = 250;
@@ -32,14 +33,13 @@
 const REMOTE_RATIO: u32 = 8;
 /// The same for a node that watches the source.
 const REMOTE_RATIO_WATCHING: u32 = 2;
-/// A watcher that the source answers queries another node than the first watcher once in this many
-/// times.
+/// A watcher that the source answers queries another node besides the first watcher once in this
+/// many times.
 const EXPLORE_RATIO: u32 = 4;
 /// Divisor of the time without a confirmation that gives the time between two rounds of queries.
 const QUERY_AGE_DIVISOR: u64 = 8;
 /// Number of peers, in its own zone and in others, that a node queries without knowing how they
-/// receive versions. They stay the same: a first message to a node opens a connection, which takes
-/// ten times the bytes.
+/// receive versions. They stay the same, since a first message to a node opens a connection.
 const FIXED_PEERS: usize = 2;
 
 /// Queries peers if a query is due.
@@ -149,7 +149,7 @@
 }
 
 /// Chooses the peers to query without a recent confirmation: the watchers known, one more peer in
-/// this zone, and one in another zone if this node queries there for its zone.
+/// this zone, and one in another zone if this node watches the source or queries for its zone.
 fn choose_peers_when_stale(cx: &mut Context<'_>, state: &mut State) -> Vec<NodeId> {
     let hint = state.import.subscriptions.hint.take();
     let own = cx.settings.node;
--- a/crates/kernel/src/import/subscription.rs
+++ b/crates/kernel/src/import/subscription.rs
@@ -1,11 +1,9 @@
 //! Publishers that send new versions to this node, and subscribers that it sends them to.
 //!
-//! Versions come from watchers that the source answers. A node queries a publisher from time to
-//! time, which also subscribes it: until the subscription lapses it is sent each change at once. A
-//! watcher that the source rejects queries peers, also in other zones, until one names a watcher
-//! that the source answers. Received changes are sent on to the node's own subscribers. Only a
-//! node's own status tells how it receives versions, and an unanswered query removes the publisher,
-//! so two nodes that have both lost the source don't keep relying on each other.
+//! A query to a publisher also subscribes the node: until the subscription expires, it is sent each
+//! change at once and sends it on to its own subscribers. A node learns how a publisher receives
+//! versions only from that publisher's own status, and an unanswered query removes the publisher, so
+//! two nodes that have both lost the source don't keep relying on each other.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +22,7 @@
     members::Reach,
 };
 
-/// Mean time between two queries of a node with a publisher, in ms.
+/// Time between two queries of a node with a publisher, in ms; up to a quarter less by jitter.
 ///
 /// Bounds how long a node stays behind after its publisher lost the source unnoticed.
 pub(super) const QUERY_MS: u64 = 1_000;
@@ -40,7 +38,7 @@
 /// How a node receives new versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Access {
-    /// It has no publisher.
+    /// It has no publisher that the source answers.
     #[default]
     None,
     /// From a watcher that the source answers.
@@ -74,7 +72,7 @@
 }
 
 impl Publisher {
-    /// Returns whether its last confirmation is older than it should be.
+    /// Returns whether its last confirmation is older than that of a working publisher gets.
     pub(super) fn is_stale(&self, now: Ms) -> bool {
         now.since(self.confirmed_at) > QUERY_AGE_MS + QUERY_MS
     }
@@ -169,14 +167,14 @@
         self.sources().min().map(|(_, id)| id)
     }
 
-    /// Returns the first watcher that the source answers and whose confirmation is recent.
+    /// Returns the watcher with the lowest id that the source answers and whose confirmation is recent.
     pub(super) fn fresh_source(&self, now: Ms) -> Option<NodeId> {
         let ids = self.sources().map(|(_, id)| id);
         ids.filter(|id| !self.publishers[id].is_stale(now)).min()
     }
 
-    /// Returns the watchers that the source answers, in the order in which they ask it. Permanent
-    /// watchers come first, since standbys soon stop.
+    /// Returns the watchers that the source answers, by id. They ask the source in the order of these
+    /// pairs: permanent watchers first, since standbys soon stop.
     pub(super) fn sources(&self) -> impl Iterator<Item = (Watch, NodeId)> {
         let direct = |it: &&Publisher| it.access == Access::Direct;
         let publishers = self.publishers.iter();
@@ -239,8 +237,8 @@
 
 /// Subscribes `from` after its query.
 pub(super) fn add_subscriber(cx: &Context<'_>, state: &mut State, from: NodeId) {
-    // A peer in another zone is only answered: subscribing it would send each change between the
-    // zones many times.
+    // Only nodes that the source answers subscribe peers of other zones. Otherwise each change would
+    // be sent between the zones many times.
     if access(state) == Access::Direct || is_in_zone(cx, state, from) {
         state.import.subscriptions.subscribers.insert(from, cx.now);
     }
--- a/crates/kernel/src/kernel.rs
+++ b/crates/kernel/src/kernel.rs
@@ -59,7 +59,8 @@
     }
 }
 
-/// The state of all plug-ins. Each changes only its own and may read the others'.
+/// The state of all plug-ins. Each may read the others' and changes them only through functions of
+/// their modules.
 pub struct State {
     /// The applied configuration log.
     pub log: Log,
@@ -140,7 +141,7 @@
         self.act(Action::Log { event, pairs });
     }
 
-    /// Notifies all plug-ins after the current event.
+    /// Notifies all plug-ins after the current event, unless the same notice waits already.
     pub fn raise(&mut self, notice: Notice) {
         if !self.notices.contains(&notice) {
             self.notices.push_back(notice);
--- a/crates/kernel/src/members.rs
+++ b/crates/kernel/src/members.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Applied {
     Changed,
-    /// The update was known already, or older than what is known.
+    /// The update was known, older than what is known, or about this node itself.
     Unchanged,
 }
 
@@ -96,7 +96,7 @@
     heartbeat: Ms,
     /// The whole node leaves, not only its upstream.
     is_leaving: bool,
-    /// Another node has sent its view to this process.
+    /// Another node has sent records to this process, or a digest equal to its own.
     joined: bool,
     /// The view changed since the last tick.
     changed: bool,
@@ -178,7 +178,7 @@
         self.others.get(&id).map(|it| it.reach)
     }
 
-    /// Returns whether another node has sent its view to this process since the start.
+    /// Returns whether another node has sent records to this process, or a digest equal to its own.
     pub fn joined(&self) -> bool {
         self.joined
     }
@@ -190,7 +190,7 @@
     }
 
     /// Returns whether so many members were lost at once that this node itself may be partitioned
-    /// from the fleet. No member is removed while that holds.
+    /// from the fleet. No member is removed as dead while that holds.
     pub fn is_partitioned(&self) -> bool {
         self.losses.is_partitioned()
     }
@@ -423,7 +423,7 @@
     }
 }
 
-/// Returns the binary logarithm of `count`, rounded up, at least one.
+/// Returns the number of binary digits of `count`, about its binary logarithm; at least one.
 fn log2(count: usize) -> u32 {
     (usize::BITS - count.leading_zeros()).max(1)
 }
--- a/crates/kernel/src/members/contact.rs
+++ b/crates/kernel/src/members/contact.rs
@@ -22,8 +22,8 @@
 /// Interval in ms at which a node checks whether it has to write a row.
 const CHECK_MS: u64 = 10_000;
 
-/// The same while a node starts, from its first scan on. Joins are over by then, and a fleet that split
-/// in two, where one half overwrote the rows of the other, merges before it serves.
+/// Time in ms from the first scan of a starting node to its next check. Joins are over by then, and a
+/// fleet that split in two, where one half overwrote the rows of the other, merges before it serves.
 const FIRST_CHECK_MS: u64 = 2_000;
 
 /// Longest delay in ms before a node that found no contact writes a row.
@@ -101,7 +101,7 @@
     };
     let prefix = contact_key(&members.own.zone, 0);
     let prefix = prefix.trim_end_matches('0');
-    // Known members are skipped: anti-entropy compares with them anyway.
+    // Known members are skipped unless none is reachable: anti-entropy compares with them anyway.
     let alone = members.others.len() == members.unreachable.len();
     let found = |local: bool| -> Vec<NodeId> {
         rows.iter()
@@ -120,10 +120,10 @@
         true => join::send_joins(cx, members, &remote),
         false => members.contacts.remote = remote,
     }
-    // A node that found no contact writes a row soon so that others find it. The random delay keeps
-    // nodes that start together from overwriting each other's rows unread.
-    let found = !rows.is_empty() && members.join.is_first();
-    let pause = match alone && !found {
+    // A node that found no contact, or whose first joins had no answer, writes a row soon so that others
+    // find it. The random delay keeps nodes that start together from overwriting each other's rows unread.
+    let awaits_answer = !rows.is_empty() && members.join.is_first();
+    let pause = match alone && !awaits_answer {
         true => cx.rng.random_range(0..FIRST_WRITE_MAX_MS),
         false => FIRST_CHECK_MS,
     };
@@ -131,7 +131,8 @@
     members.contacts.checked = members.contacts.checked.max(first);
 }
 
-/// Sends a join to the contacts in other zones that are still unknown after the first view arrived.
+/// Sends a join to contacts in other zones that are still unknown after the first view arrived, on about
+/// [`REMOTE_JOINS`] nodes of each zone.
 ///
 /// When a whole fleet starts, members of the own zone know little of other zones. Without this, a host
 /// whose zone lacks a service would refuse requests for it until anti-entropy reaches the other zones.
@@ -164,7 +165,7 @@
     now + pause - CHECK_MS
 }
 
-/// Writes this node's contact row if the check is due and the row is missing or old.
+/// Writes this node's contact row if a check is due and the last write is too old or for another slot.
 pub(super) fn tick(cx: &mut Context<'_>, members: &mut Members) {
     let alone = members.others.is_empty();
     if members.contacts.scan.is_some() && alone {
--- a/crates/kernel/src/members/probe.rs
+++ b/crates/kernel/src/members/probe.rs
@@ -77,7 +77,7 @@
 }
 
 impl Prober {
-    /// Drops the probes in flight: their answers may have been lost while the process was paused.
+    /// Drops the probes in flight, whose answers may be lost, and makes the next one due.
     pub(super) fn reset(&mut self, now: Ms) {
         self.pending.clear();
         self.indirect.clear();
--- a/crates/kernel/src/members/queue.rs
+++ b/crates/kernel/src/members/queue.rs
@@ -40,9 +40,9 @@
 pub(super) enum Delivery {
     /// On probes only.
     Piggyback,
-    /// Also pushed at once by its origin.
+    /// Also pushed once, mostly by the origin of the update.
     Origin,
-    /// Also pushed at once by every node that receives it.
+    /// Also pushed twice by its origin and by every node that receives it, out of a budget of its own.
     Urgent,
 }
 
@@ -131,7 +131,7 @@
     }
 
     /// Takes the updates for one datagram with `room` bytes left, least sent and newest first. An
-    /// update that was sent `limit` times leaves the queue.
+    /// update that was sent `limit` times leaves the queue; if urgent or crowded, after a third of that.
     pub(super) fn take_piggybacked(&mut self, now: Ms, room: usize, limit: u32) -> Vec<Update> {
         self.refill(now);
         self.items
--- a/crates/kernel/src/members/record.rs
+++ b/crates/kernel/src/members/record.rs
@@ -150,7 +150,7 @@
     Leaving { head: Head, phase: Phase },
     /// The member is suspected to have failed; a higher stamp refutes it.
     Suspect(Head),
-    /// The member is declared dead; a higher stamp refutes it.
+    /// The member left or was declared dead; a higher stamp refutes it.
     Dead(Head),
     /// A zone was lost or found.
     Zone(ZoneState),
@@ -195,14 +195,15 @@
     News { updates: Vec<Update> },
 }
 
-/// Bulk exchange of member records over the link; each message stays under [`super::CHUNK_MAX`].
+/// Bulk exchange of member records over the link; each message has at most about
+/// [`super::CHUNK_MAX`] bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Announces a new node and asks for the receiver's view.
     Join { record: Record },
     /// Records and other updates.
     Records { updates: Vec<Update> },
-    /// The sender serves too many joins at present; the receiver may ask one of `others`.
+    /// The sender serves too many joins and pulls at present; the receiver may join by one of `others`.
     Busy { others: Vec<NodeId> },
     /// The digest of the sender's view.
     Compare { root: u64 },
--- a/crates/kernel/src/members/suspect.rs
+++ b/crates/kernel/src/members/suspect.rs
@@ -22,7 +22,7 @@
 /// A loss of more than one in this many members at once is a mass loss.
 pub(super) const LOSS_RATIO: usize = 3;
 
-/// Time in ms after the last mass loss during which no member is removed.
+/// Time in ms after the last mass loss during which no member is removed as dead.
 const PARTITION_MS: u64 = 120_000;
 
 /// Least number of lost members that count as a mass loss.
@@ -37,7 +37,7 @@
 /// Answers after which a view is fresh again.
 const FRESH_ACKS: u8 = 2;
 
-/// Returns the time in ms that a suspect has to refute before it is removed. It grows with the
+/// Returns the time in ms that a suspect has to refute before it counts as dead. It grows with the
 /// logarithm of the fleet's size, as the time that gossip takes to reach every member does.
 pub fn suspicion_timeout_ms(members: usize) -> u64 {
     SUSPICION_MIN_MS + 750 * u64::from(log2(members))
@@ -131,7 +131,8 @@
         self.deadlines.remove(&id);
     }
 
-    /// Ends the suspicion of `id` and removes it from the recent losses: it is reachable, or has left.
+    /// Ends the suspicion of `id` and removes it from the recent losses: it is reachable, was removed, or
+    /// is lost with its zone.
     pub(super) fn retract(&mut self, id: NodeId) {
         self.deadlines.remove(&id);
         self.recent.retain(|(_, it)| *it != id);
@@ -399,7 +400,7 @@
     }
 }
 
-/// Sends the own record again if a peer suspects this node by an older stamp.
+/// Sends the own record again if a peer takes this node for suspect or dead by an older stamp.
 pub(super) fn resend_own_record(now: Ms, members: &mut Members, head: Head) {
     if head.stamp < members.own.stamp() && members.own.phase != super::Phase::Gone {
         let update = Update::Record(members.own.clone());
--- a/crates/kernel/src/members/sync.rs
+++ b/crates/kernel/src/members/sync.rs
@@ -11,7 +11,7 @@
 };
 use crate::{clock::Ms, event, id::NodeId, kernel::Context};
 
-/// Most bytes of updates in one message; the link drops frames above 64 KiB.
+/// Approximate limit of the bytes of updates in one message; the link drops frames above 64 KiB.
 pub const CHUNK_MAX: usize = 48 * 1024;
 
 /// Mean time between two comparisons that a node begins, in ms.
@@ -160,6 +160,7 @@
     members.joined = true;
     contact::join_remote_contacts(cx, members);
     suspect::count_answer(members);
+    // Sends the own record by gossip now that other members are known.
     if alone && changed {
         members.change_own(cx.now, |_| {}, super::Delivery::Origin);
     }
@@ -252,7 +253,7 @@
     }
 }
 
-/// Most tombstones and zone states in one message, to stay below [`CHUNK_MAX`].
+/// Most tombstones and zone states in one message, to stay below the link's frame size.
 const TOMBSTONES_SENT_MAX: usize = 512;
 
 fn heads_in(members: &Members, buckets: &[u8]) -> Vec<Head> {
--- a/crates/kernel/src/members/zone_loss.rs
+++ b/crates/kernel/src/members/zone_loss.rs
@@ -23,7 +23,8 @@
 /// reachable, so its dead members are removed one by one.
 const HOLDOFF_MS: u64 = 60_000;
 
-/// Most zones kept, so that made-up names can't exhaust the memory.
+/// Number of zones from which on states of unknown zones are ignored, so that made-up names can't exhaust
+/// the memory.
 const ZONES_MAX: usize = 512;
 
 #[derive(Debug, Default)]
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -34,7 +34,7 @@
     pub spread: SpreadSettings,
     /// Claims. Default: [`OnceSettings::default`].
     pub once: OnceSettings,
-    /// Minimum time from a stop to the exit, in ms. Default: [`NOTICE_MS`].
+    /// Minimum time from a stop until a node with an upstream leaves, in ms. Default: [`NOTICE_MS`].
     pub notice: u64,
 }
 
@@ -76,16 +76,16 @@
     /// Budget of control traffic that this node sends, in bytes per second averaged over a minute.
     /// Default: 2048.
     pub budget: u64,
-    /// Budget of catch-up answers to nodes that are far behind, in bytes per second averaged over a
-    /// minute. Default: 16384.
+    /// Budget of answers to pulls, in bytes per second averaged over a minute. Default: 16384.
     pub catchup: u64,
-    /// Maximum number of concurrent catch-up answers; further requests are refused. Default: 2.
+    /// Maximum number of concurrent answers too long for one message; further ones are refused.
+    /// Default: 2.
     pub slots: usize,
     /// Mean time between two comparisons with a random peer, in ms. Default: 2000.
     pub repair: u64,
     /// Number of relays in each availability zone. Default: 2.
     pub relays: usize,
-    /// Maximum number of nodes that one node pushes to. Default: 4.
+    /// Maximum number of children of a node in a push tree. Default: 4.
     pub degree: usize,
 }
 
@@ -102,7 +102,7 @@
 /// Form in which changes are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpreadForm {
-    /// The difference from the previous revision.
+    /// The difference from a text that the receiver holds, or the full document if that is shorter.
     Delta,
     /// The full document; a baseline.
     Full,
@@ -115,7 +115,7 @@
     }
 
     /// Preset with little control traffic: a long window, so that changes close in time are sent
-    /// together.
+    /// together, and rare comparisons.
     pub fn cascadia() -> SpreadSettings {
         SpreadSettings {
             window: 2_000,
--- a/crates/kernel/src/spread.rs
+++ b/crates/kernel/src/spread.rs
@@ -122,11 +122,11 @@
     pub sent: BTreeMap<Kind, u64>,
     /// Messages sent.
     pub messages: BTreeMap<Kind, u64>,
-    /// Catch-ups served completely.
+    /// Catch-ups in parts that were served completely.
     pub served: u64,
     /// Catch-ups refused because too many were being served or the budget was spent.
     pub refused: u64,
-    /// Catch-ups in progress.
+    /// Catch-ups in parts that are in progress.
     pub serving: usize,
     /// Pushes delayed because the budget was spent.
     pub delayed: u64,
@@ -134,7 +134,7 @@
     pub queued: usize,
     /// Ranges that failed to decode or whose base text or digest didn't match.
     pub mismatches: u64,
-    /// Pulls that got no answer or a refusal.
+    /// Pulls that failed, for instance without an answer or by a refusal.
     pub failures: u64,
     /// Whether this node is currently a relay of its zone.
     pub relay: bool,
--- a/crates/kernel/src/spread/history.rs
+++ b/crates/kernel/src/spread/history.rs
@@ -45,8 +45,9 @@
 #[derive(Debug)]
 struct ReplacedText {
     service: Name,
+    /// Position that made it.
     made: Seq,
-    /// Position that replaced it.
+    /// Position that replaced or deleted it.
     until: Seq,
     text: Arc<str>,
 }
--- a/crates/kernel/src/spread/pacing.rs
+++ b/crates/kernel/src/spread/pacing.rs
@@ -1,4 +1,4 @@
-//! Rate limit for control bytes, averaged over a minute.
+//! Rate limit for bytes sent, averaged over a minute.
 
 use crate::clock::Ms;
 
--- a/crates/kernel/src/spread/readiness.rs
+++ b/crates/kernel/src/spread/readiness.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// Records the position that a peer reported.
+/// Records that a peer reported its position, and the position that it knows as proposed.
 ///
 /// Only ready peers count as a confirmation. Otherwise a fleet that starts together would agree on an
 /// empty configuration and serve it.
--- a/crates/kernel/src/spread/relay.rs
+++ b/crates/kernel/src/spread/relay.rs
@@ -22,7 +22,7 @@
 /// Mean time between two reads of the table's head by a relay, in ms.
 pub const POLL_MS: u64 = 1_000;
 
-/// Longest back-off between two reads while the table fails, in ms.
+/// Longest back-off after a failed read, and longest wait that a throttling table adds to it, in ms.
 const POLL_MAX_MS: u64 = 8_000;
 
 /// Timeout of a read of the table, in ms.
--- a/crates/kernel/src/spread/repair.rs
+++ b/crates/kernel/src/spread/repair.rs
@@ -33,7 +33,7 @@
 const RETRY_MS: u64 = 250;
 const RETRY_MAX_MS: u64 = 8_000;
 
-/// Failed pulls up to which only peers of the zone are asked.
+/// Failed pulls from which on peers of any zone are asked.
 const ZONE_ATTEMPTS: u32 = 4;
 
 /// Failed pulls after which the table is read as well.
@@ -54,7 +54,7 @@
 pub struct Repair {
     /// Highest position reported by peers or the table.
     heard: Seq,
-    /// Peer that reported it first, or that holds a state to replace the own one.
+    /// Peer to pull from first: it reported `heard`, or holds a state to replace the own one.
     holder: Option<NodeId>,
     fetch: Fetch,
     attempts: u32,
--- a/crates/kernel/src/spread/tree.rs
+++ b/crates/kernel/src/spread/tree.rs
@@ -23,7 +23,7 @@
 }
 
 /// Most trees kept. A zone has few relays, so more roots come only from differing views.
-const ROOTS_MAX: usize = 32;
+const TREES_MAX: usize = 32;
 
 impl Trees {
     /// Drops the relays and trees of an older view.
@@ -32,7 +32,7 @@
     }
 }
 
-/// Returns the zones of the current view.
+/// Returns the zones that have ready members.
 pub fn zones(state: &State) -> BTreeSet<Name> {
     state.members.ready().map(|it| it.zone.clone()).collect()
 }
@@ -112,7 +112,7 @@
         members, spread, ..
     } = state;
     let trees = &mut spread.trees.ranked;
-    if trees.len() >= ROOTS_MAX && !trees.contains_key(&(root, turn)) {
+    if trees.len() >= TREES_MAX && !trees.contains_key(&(root, turn)) {
         trees.clear();
     }
     trees.entry((root, turn)).or_insert_with(|| {
--- a/crates/kernel/src/spread/witness.rs
+++ b/crates/kernel/src/spread/witness.rs
@@ -1,9 +1,8 @@
 //! Witnesses: a few peers that a committer notifies of a position before it asks the table to accept it.
 //!
-//! A committer serves an accepted position before it pushes it. If it crashes then and restarts while
-//! the table is down, no peer holds that position, and the new process would serve older configuration
-//! than before. The witnesses report the proposed position to the new process, which waits for the
-//! table if it lacks it. This fails if most witnesses are lost together with the committer.
+//! If a committer crashes after it served a position and before it pushed it, and restarts while the
+//! table is down, no peer holds that position. The witnesses report it to the new process, which waits
+//! for the table instead of serving older configuration, unless most of them are lost as well.
 
 use std::collections::BTreeMap;
 
--- a/crates/kernel/src/view.rs
+++ b/crates/kernel/src/view.rs
@@ -84,13 +84,12 @@
     pub slots: u16,
 }
 
-/// Publishes a new view when something in it changed, at most one in [`TICK_MS`].
+/// Publishes a new view when something in it changed, at most one in [`TICK_MS`], since a build
+/// visits every member.
 ///
-/// A build visits every member, so rebuilding for each of many small changes would starve the
-/// control thread. Rare changes are published at once: the node's own, because a draining node must
-/// refuse requests from then on; quarantines, because the caller of a request that crashes its
-/// upstream is about to send it again; and versions accepted by this node, because the submitter
-/// may read them back.
+/// Rare changes are published at once: the node's own, so that a draining node refuses requests;
+/// quarantines, whose request is about to be sent again; imported versions; and versions that this
+/// node committed, which the submitter may read back.
 #[derive(Debug, Default)]
 pub struct Publisher {
     stale: bool,
--- a/crates/kernel/tests/common/fleet.rs
+++ b/crates/kernel/tests/common/fleet.rs
@@ -14,7 +14,7 @@
 
 pub const ZONES: [&str; 3] = ["cairo-a", "cairo-b", "delta-a"];
 
-/// Starts `nodes` kernels spread over the zones and runs until all are ready.
+/// Starts `nodes` kernels spread over the zones and runs for 15 s. Panics unless all are ready.
 pub fn fleet(nodes: usize, spread: &SpreadSettings) -> Driver {
     let mut driver = Driver::new(&[]);
     for index in 0..nodes {
--- a/crates/kernel/tests/common/invariants.rs
+++ b/crates/kernel/tests/common/invariants.rs
@@ -25,7 +25,7 @@
     prefixes: Vec<Texts>,
     applied: BTreeMap<SubmitId, Seq>,
     accepted: BTreeMap<SubmitId, Seq>,
-    /// Number of submissions of each id, and the ids whose operator was told that nothing changed.
+    /// Number of submissions of each id, and the ids whose operator got a verdict that nothing changed.
     submitted: BTreeMap<SubmitId, usize>,
     denied: BTreeSet<SubmitId>,
     ready: Vec<Seq>,
@@ -80,7 +80,7 @@
         *self.submitted.entry(id).or_default() += 1;
     }
 
-    /// Returns whether the operator of `id` was told that nothing changed. Not if the submission
+    /// Returns whether the operator of `id` got a verdict that nothing changed. Not if the submission
     /// was repeated, since a repetition may be accepted after a denial.
     fn is_denied(&self, id: SubmitId) -> bool {
         self.denied.contains(&id) && self.submitted.get(&id) == Some(&1)
--- a/crates/kernel/tests/common/mod.rs
+++ b/crates/kernel/tests/common/mod.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Starts node `idx` in `zones[idx]` for each zone, and runs until all have joined.
+    /// Starts node `idx` in `zones[idx]` for each zone, and runs for 20 s, in which all join.
     pub fn settled(seed: u64, zones: &[&str]) -> Net {
         let mut net = Net::new(seed);
         for (number, zone) in zones.iter().enumerate() {
--- a/crates/kernel/tests/invariants.rs
+++ b/crates/kernel/tests/invariants.rs
@@ -83,7 +83,7 @@
 }
 
 // Guards against a paused committer that, once resumed, commits a waiting submission after its
-// operator was told `conflict`.
+// operator got the verdict `conflict`.
 #[test]
 fn resumed_committer_drops_denied_change() {
     let faults = vec![
