--- a/crates/node/tests/pages.rs
+++ b/crates/node/tests/pages.rs
@@ -92,11 +92,10 @@
     for entry in read(&root().join("KNOWN-RED.txt")).lines() {
         let (file, rest) = entry.split_once("::").expect("a test file");
         let name = rest.split(':').next().expect("a test");
-        let paths = files(root().join("crates"), &["rs"]);
-        let path = paths
-            .iter()
-            .find(|it| it.ends_with(format!("tests/{file}.rs")));
-        let text = read(path.unwrap_or_else(|| panic!("no test file {file}")));
+        let folders = ["crates", "platform"].map(|it| root().join(it));
+        let mut paths = folders.into_iter().flat_map(|it| files(it, &["rs"]));
+        let path = paths.find(|it| it.ends_with(format!("tests/{file}.rs")));
+        let text = read(&path.unwrap_or_else(|| panic!("no test file {file}")));
         assert!(text.contains(&format!("fn {name}(")), "no test {name}");
     }
 }
